--- a/src/test/java/gladeknot/standin/SimulatedCluster.java
+++ b/src/test/java/gladeknot/standin/SimulatedCluster.java
@@ -148,6 +148,10 @@
 
   private boolean watching;
   private int startsSeen;
+
+  /** Null unless fingerprints are recorded. */
+  private final BehaviourFingerprint fingerprint;
+
   private final Map<Integer, Long> lastOrderMicros = new HashMap<>();
   private long peerBytes;
   private long stateCalls;
@@ -181,6 +185,10 @@
   /** The same with features turned on. */
   public SimulatedCluster(int count, long seed, Scale scale, Features features) {
     this.features = features;
+    this.fingerprint = FingerprintRecorder.enabled() ? new BehaviourFingerprint() : null;
+    if (fingerprint != null) {
+      FingerprintRecorder.add(() -> fingerprint.line(state));
+    }
     random = new SplittableRandom(seed);
     this.scale = scale;
     state.mostValueBytes = scale.valueBytes();
@@ -499,10 +507,16 @@
   private void drain(int i) {
     Node n = nodes.get(i);
     for (Outbox.Call call : n.core.outbox().takeCalls()) {
+      if (fingerprint != null) {
+        fingerprint.call(now, i, call);
+      }
       send(i, call);
     }
     for (PeerMessage message : n.core.outbox().takeMessages()) {
       peerBytes += (long) message.encode().length * (nodes.size() - 1);
+      if (fingerprint != null) {
+        fingerprint.message(now, i, message);
+      }
       for (int j = 0; j < nodes.size(); j++) {
         Node other = nodes.get(j);
         if (other != n && !n.cutFromPeers && !other.cutFromPeers && !cuts.peerLost(i, j)) {
@@ -517,6 +531,9 @@
       }
     }
     for (Outbox.Answer answer : n.core.outbox().takeAnswers()) {
+      if (fingerprint != null) {
+        fingerprint.answer(now, i, answer);
+      }
       var then = n.asked.remove(answer.request());
       if (then != null) {
         then.accept(answer);
--- /dev/null
+++ b/tools/fingerprints.sh
@@ -0,0 +1,29 @@
+#!/usr/bin/env bash
+# Compares what the controllers of all simulated clusters send with what is recorded, a line for
+# each cluster of each test case; docs/development.md says more.
+#
+# Usage: tools/fingerprints.sh compare | record
+#
+# FINGERPRINT_TESTS names some of the test classes instead of all, for a quick comparison.
+set -euo pipefail
+cd "$(dirname "$0")/.."
+recorded=src/test/fingerprints/clusters.txt
+measured=$PWD/target/fingerprints.txt
+tests='SimulatedClusterTest,MeetingsTest,PipelinesTest,UpgradeTest,PartialCutsTest,LoadTest,RequestsTest,UnlimitedTeamTest,CheckerTest,RecalledMachinesTest,HomeSelectorTest'
+mkdir -p target "$(dirname "$recorded")"
+rm -f "$measured"
+mvn -q -B test -Dtest="${FINGERPRINT_TESTS:-$tests}" -Dgladeknot.fingerprints="$measured" \
+  -Djunit.jupiter.extensions.autodetection.enabled=true -Dsurefire.failIfNoSpecifiedTests=false
+LC_ALL=C sort -o "$measured" "$measured"
+case "${1:-}" in
+  record) cp "$measured" "$recorded" ;;
+  compare)
+    if [ -n "${FINGERPRINT_TESTS:-}" ]; then
+      # Only some lines were measured: each of them has to be among the recorded ones.
+      diff <(LC_ALL=C comm -13 "$recorded" "$measured") /dev/null
+    else
+      diff "$recorded" "$measured"
+    fi
+    echo "$(wc -l < "$measured") of $(wc -l < "$recorded") clusters measured, all as recorded" ;;
+  *) echo "usage: tools/fingerprints.sh compare | record" >&2; exit 2 ;;
+esac
