--- a/src/main/java/gladeknot/policy/Policy.java
+++ b/src/main/java/gladeknot/policy/Policy.java
@@ -130,7 +130,7 @@
   public void settings(Settings s) {
     variables.put("lease_s", s.workers().leaseMicros() / 1e6);
     variables.put("cancel_s", s.workers().cancelMicros() / 1e6);
-    variables.put("report_s", s.workers().reportMicros() / 1e6);
+    variables.put("report_s", s.workers().heartbeatMicros() / 1e6);
     variables.put("members", (double) s.nodes().size());
     values.clear();
   }
--- a/src/main/java/gladeknot/teams/Budgets.java
+++ b/src/main/java/gladeknot/quota/QuotaAllocator.java
@@ -1,16 +1,16 @@
-package gladeknot.teams;
+package gladeknot.quota;
 
-import gladeknot.connectivity.OrderKind;
-import gladeknot.http.Json;
-import gladeknot.http.Outbox;
+import gladeknot.commit.TransactionCommitter;
+import gladeknot.connectivity.ControlAction;
+import gladeknot.json.Json;
 import gladeknot.membership.Membership;
+import gladeknot.outbox.Outbox;
 import gladeknot.peer.PeerMessage;
-import gladeknot.placement.RecordWriter;
-import gladeknot.placement.Slice;
-import gladeknot.placement.SliceRegistry;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Write;
+import gladeknot.state.StateStore.Mutation;
+import gladeknot.tasks.Slice;
+import gladeknot.tasks.SliceRegistry;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -26,8 +26,8 @@
  * smaller by that shard's owner alone, who knows what is used, and what it gives up goes to shards
  * whose work waits for it.
  */
-public final class Budgets {
-  private static final Logger LOG = LoggerFactory.getLogger(Budgets.class);
+public final class QuotaAllocator {
+  private static final Logger LOG = LoggerFactory.getLogger(QuotaAllocator.class);
   private static final String KEYS = StateStore.ROOT + "team/";
   private static final long STEP_MICROS = 150_000;
 
@@ -39,29 +39,29 @@
   private static final long HINT_MICROS = 3_000_000;
 
   /** An amount of CPUs and GPUs, in thousandths. */
-  public record Amount(long cpus, long gpus) {
-    Amount minus(Amount o) {
-      return new Amount(cpus - o.cpus, gpus - o.gpus);
+  public record ResourceAmount(long cpus, long gpus) {
+    ResourceAmount minus(ResourceAmount o) {
+      return new ResourceAmount(cpus - o.cpus, gpus - o.gpus);
     }
 
-    Amount plus(Amount o) {
-      return new Amount(cpus + o.cpus, gpus + o.gpus);
+    ResourceAmount plus(ResourceAmount o) {
+      return new ResourceAmount(cpus + o.cpus, gpus + o.gpus);
     }
 
     boolean positive() {
       return cpus > 0 || gpus > 0;
     }
 
-    Amount atLeastZero() {
-      return new Amount(Math.max(0, cpus), Math.max(0, gpus));
+    ResourceAmount atLeastZero() {
+      return new ResourceAmount(Math.max(0, cpus), Math.max(0, gpus));
     }
 
-    Amount min(Amount o) {
-      return new Amount(Math.min(cpus, o.cpus), Math.min(gpus, o.gpus));
+    ResourceAmount min(ResourceAmount o) {
+      return new ResourceAmount(Math.min(cpus, o.cpus), Math.min(gpus, o.gpus));
     }
   }
 
-  private static final Amount NONE = new Amount(0, 0);
+  private static final ResourceAmount NONE = new ResourceAmount(0, 0);
 
   /** A shard's budget of what its team has no limit of; the sum over all shards fits a long. */
   private static final long UNLIMITED = Long.MAX_VALUE >> 20;
@@ -70,13 +70,13 @@
   private final StateStore stateStore;
   private final Membership membership;
   private final SliceRegistry slices;
-  private final RecordWriter recordWriter;
+  private final TransactionCommitter recordWriter;
   private final Outbox outbox;
   private final Set<String> changing = new HashSet<>();
-  private final Map<String, Amount> giving = new HashMap<>();
-  private final Map<Integer, Map<String, Amount>> lacking = new HashMap<>();
-  private final Map<Integer, Map<String, Amount>> told = new HashMap<>();
-  private final Map<String, Amount> reserved = new HashMap<>();
+  private final Map<String, ResourceAmount> giving = new HashMap<>();
+  private final Map<Integer, Map<String, ResourceAmount>> lacking = new HashMap<>();
+  private final Map<Integer, Map<String, ResourceAmount>> told = new HashMap<>();
+  private final Map<String, ResourceAmount> reserved = new HashMap<>();
   private final Map<Integer, Long> hintedMicros = new HashMap<>();
   private final Map<String, Long> restUntilMicros = new HashMap<>();
   private final Map<String, Long> lackSince = new HashMap<>();
@@ -85,12 +85,12 @@
   private long nowMicros;
 
   /** Budgets as the copy shows them. */
-  public Budgets(
+  public QuotaAllocator(
       Settings settings,
       StateStore stateStore,
       Membership membership,
       SliceRegistry slices,
-      RecordWriter recordWriter,
+      TransactionCommitter recordWriter,
       Outbox outbox) {
     this.settings = settings;
     this.stateStore = stateStore;
@@ -101,23 +101,23 @@
   }
 
   /** What a shard may use for a team: its committed part of each limit that there is. */
-  private Amount budget(String team, int shard) {
+  private ResourceAmount budget(String team, int shard) {
     Settings.Team limits = settings.teams().get(team);
     if (limits == null) {
       return NONE;
     }
-    Amount committed = committed(team, shard);
-    return new Amount(
+    ResourceAmount committed = committed(team, shard);
+    return new ResourceAmount(
         limits.limitsCpus() ? committed.cpus() : UNLIMITED,
         limits.limitsGpus() ? committed.gpus() : UNLIMITED);
   }
 
-  private Amount committed(String team, int shard) {
+  private ResourceAmount committed(String team, int shard) {
     StateStore.Entry entry = stateStore.get(KEYS + team);
     if (entry == null) {
       return NONE;
     }
-    return new Amount(part(entry, "c", shard), part(entry, "g", shard));
+    return new ResourceAmount(part(entry, "c", shard), part(entry, "g", shard));
   }
 
   private static long part(StateStore.Entry entry, String name, int shard) {
@@ -129,30 +129,30 @@
   }
 
   /** What a shard's tasks of a team take; every task that may still be on a machine counts. */
-  public Amount usage(String team, int shard) {
+  public ResourceAmount usage(String team, int shard) {
     long cpus = 0;
     long gpus = 0;
-    for (Slice s : slices.of(shard)) {
+    for (Slice s : slices.inShard(shard)) {
       if (team.equals(s.team())) {
-        int live = s.live();
+        int live = s.liveCount();
         cpus += s.cpus() * live;
         gpus += s.gpus() * live;
       }
     }
-    return new Amount(cpus, gpus);
+    return new ResourceAmount(cpus, gpus);
   }
 
   /** What a shard may still start for a team. */
-  public Amount available(String team, int shard) {
+  public ResourceAmount available(String team, int shard) {
     return budget(team, shard)
         .minus(usage(team, shard))
         .minus(giving.getOrDefault(team + "/" + shard, NONE));
   }
 
   /** What a team may still start over all shards. */
-  public Amount openAnywhere(String team) {
-    Amount sum = NONE;
-    for (int shard = 0; shard < membership.shards(); shard++) {
+  public ResourceAmount clusterHeadroom(String team) {
+    ResourceAmount sum = NONE;
+    for (int shard = 0; shard < membership.shardCount(); shard++) {
       sum = sum.plus(budget(team, shard).minus(usage(team, shard)));
     }
     return sum.atLeastZero();
@@ -165,7 +165,7 @@
       return;
     }
     nextMicros = now + STEP_MICROS;
-    for (int shard : membership.owned()) {
+    for (int shard : membership.ownedShards()) {
       tell(shard);
     }
     for (Settings.Team team : settings.teams().values()) {
@@ -175,22 +175,23 @@
       if (stateStore.get(KEYS + team.name()) == null) {
         create(team);
       } else {
-        List.copyOf(membership.owned()).forEach(shard -> give(team, shard));
+        List.copyOf(membership.ownedShards()).forEach(shard -> give(team, shard));
       }
     }
   }
 
   /** The part of an amount that budgets are kept of; the rest is not limited. */
-  private static Amount limited(Settings.Team team, Amount amount) {
-    return new Amount(team.limitsCpus() ? amount.cpus() : 0, team.limitsGpus() ? amount.gpus() : 0);
+  private static ResourceAmount limited(Settings.Team team, ResourceAmount amount) {
+    return new ResourceAmount(
+        team.limitsCpus() ? amount.cpus() : 0, team.limitsGpus() ? amount.gpus() : 0);
   }
 
   private void create(Settings.Team team) {
-    int mine = membership.home();
-    if (!membership.permits(OrderKind.CHANGE_BUDGET, mine)) {
+    int mine = membership.homeShard();
+    if (!membership.permits(ControlAction.CHANGE_QUOTA, mine)) {
       return;
     }
-    int n = membership.shards();
+    int n = membership.shardCount();
     List<Long> cpus = new ArrayList<>();
     List<Long> gpus = new ArrayList<>();
     for (int i = 0; i < n; i++) {
@@ -200,15 +201,15 @@
     change(team.name(), mine, Json.of("c", cpus, "g", gpus), NONE);
   }
 
-  private void change(String team, int shard, Map<String, Object> data, Amount given) {
+  private void change(String team, int shard, Map<String, Object> data, ResourceAmount given) {
     changing.add(team);
     String key = KEYS + team;
     giving.put(team + "/" + shard, given);
-    recordWriter.add(
-        new RecordWriter.KeyChange(
+    recordWriter.submit(
+        new TransactionCommitter.KeyMutation(
             shard,
-            Write.put(key, data),
-            Map.of(key, stateStore.stamp(key)),
+            Mutation.put(key, data),
+            Map.of(key, stateStore.modRevision(key)),
             done -> {
               changing.remove(team);
               restUntilMicros.put(team, nowMicros + REST_MICROS);
@@ -217,84 +218,87 @@
   }
 
   /** What a pass found that a shard's budget of a team lacks for tasks that it has room for. */
-  public void lacks(String team, int shard, Amount amount) {
-    lacking.computeIfAbsent(shard, k -> new TreeMap<>()).merge(team, amount, Amount::plus);
+  public void reportDeficit(String team, int shard, ResourceAmount amount) {
+    lacking.computeIfAbsent(shard, k -> new TreeMap<>()).merge(team, amount, ResourceAmount::plus);
   }
 
   /** What a pass keeps room for: it will be started when others have stopped. */
-  public void reserve(String team, int shard, Amount amount) {
-    reserved.merge(team + "/" + shard, amount, Amount::plus);
+  public void reserve(String team, int shard, ResourceAmount amount) {
+    reserved.merge(team + "/" + shard, amount, ResourceAmount::plus);
   }
 
   /** A new pass over a shard begins. */
-  public void clear(int shard) {
+  public void beginPass(int shard) {
     lacking.remove(shard);
     reserved.keySet().removeIf(k -> k.endsWith("/" + shard));
   }
 
   /** Takes in what another controller lacks. */
-  public void message(PeerMessage message) {
-    if (message.shard() >= membership.shards()
+  public void onPeerMessage(PeerMessage message) {
+    if (message.shard() >= membership.shardCount()
         || message.term() != membership.term(message.shard())
-        || membership.owned().contains(message.shard())) {
+        || membership.ownedShards().contains(message.shard())) {
       return;
     }
-    Map<String, Amount> map = new TreeMap<>();
-    message.shorts().forEach(s -> map.put(s.team(), new Amount(s.cpus(), s.gpus())));
+    Map<String, ResourceAmount> map = new TreeMap<>();
+    message.deficits().forEach(s -> map.put(s.team(), new ResourceAmount(s.cpus(), s.gpus())));
     lacking.put(message.shard(), map);
     hintedMicros.put(message.shard(), nowMicros);
     nextMicros = 0;
   }
 
   private void tell(int shard) {
-    Map<String, Amount> map = lacking.getOrDefault(shard, Map.of());
+    Map<String, ResourceAmount> map = lacking.getOrDefault(shard, Map.of());
     if (map.equals(told.get(shard)) && (map.isEmpty() || nowMicros < tellAgainMicros)) {
       return;
     }
     tellAgainMicros = nowMicros + TELL_MICROS;
     told.put(shard, Map.copyOf(map));
-    List<PeerMessage.Short> shorts = new ArrayList<>();
-    map.forEach((team, a) -> shorts.add(new PeerMessage.Short(team, a.cpus(), a.gpus())));
-    outbox.message(PeerMessage.ofShorts(settings.node(), shard, membership.term(shard), shorts));
+    List<PeerMessage.QuotaDeficit> shorts = new ArrayList<>();
+    map.forEach((team, a) -> shorts.add(new PeerMessage.QuotaDeficit(team, a.cpus(), a.gpus())));
+    outbox.sendToPeers(
+        PeerMessage.ofDeficits(settings.node(), shard, membership.term(shard), shorts));
   }
 
   private void give(Settings.Team team, int shard) {
-    if (!membership.permits(OrderKind.CHANGE_BUDGET, shard)) {
+    if (!membership.permits(ControlAction.CHANGE_QUOTA, shard)) {
       return;
     }
     String name = team.name();
-    Amount free = available(name, shard).minus(reserved.getOrDefault(name + "/" + shard, NONE));
-    Amount spare = free.minus(lacking.getOrDefault(shard, Map.of()).getOrDefault(name, NONE));
-    Amount rest = spare.atLeastZero();
-    for (int other = 0; other < membership.shards(); other++) {
-      boolean ours = membership.owned().contains(other);
+    ResourceAmount free =
+        available(name, shard).minus(reserved.getOrDefault(name + "/" + shard, NONE));
+    ResourceAmount spare =
+        free.minus(lacking.getOrDefault(shard, Map.of()).getOrDefault(name, NONE));
+    ResourceAmount rest = spare.atLeastZero();
+    for (int other = 0; other < membership.shardCount(); other++) {
+      boolean ours = membership.ownedShards().contains(other);
       boolean heard = nowMicros - hintedMicros.getOrDefault(other, 0L) < HINT_MICROS;
       if (other == shard || (!ours && !heard)) {
         continue;
       }
-      Amount lacks = lacking.getOrDefault(other, Map.of()).getOrDefault(name, NONE);
+      ResourceAmount lacks = lacking.getOrDefault(other, Map.of()).getOrDefault(name, NONE);
       if (!lacks.positive()) {
         lackSince.remove(name + "/" + other);
         continue;
       }
       // One after the other: all that give at once would conflict over the one key.
       long since = lackSince.computeIfAbsent(name + "/" + other, k -> nowMicros);
-      int place = Math.floorMod(shard - other - 1, membership.shards());
+      int place = Math.floorMod(shard - other - 1, membership.shardCount());
       if (nowMicros - since < place * GIVE_STEP_MICROS) {
         continue;
       }
       // A rest too small for any of one's own tasks goes to lower numbers, never in circles.
       boolean stuck = lacking.getOrDefault(shard, Map.of()).containsKey(name) && other < shard;
-      Amount given = limited(team, (stuck ? free.atLeastZero() : rest).min(lacks));
+      ResourceAmount given = limited(team, (stuck ? free.atLeastZero() : rest).min(lacks));
       if (!given.positive()) {
         continue;
       }
       LOG.info("team {}: shard {} gives {} to shard {}", name, shard, given, other);
       List<Long> cpus = new ArrayList<>();
       List<Long> gpus = new ArrayList<>();
-      for (int i = 0; i < membership.shards(); i++) {
-        Amount b = committed(name, i);
-        Amount change = i == shard ? NONE.minus(given) : i == other ? given : NONE;
+      for (int i = 0; i < membership.shardCount(); i++) {
+        ResourceAmount b = committed(name, i);
+        ResourceAmount change = i == shard ? NONE.minus(given) : i == other ? given : NONE;
         cpus.add(b.cpus() + change.cpus());
         gpus.add(b.gpus() + change.gpus());
       }
--- a/src/main/java/gladeknot/placement/DeadlineCapacity.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
@@ -1,9 +1,10 @@
-package gladeknot.placement;
+package gladeknot.scheduling;
 
-import gladeknot.fleet.MachineType;
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
+import gladeknot.tasks.Attempt;
+import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
 
@@ -18,12 +19,12 @@
 
   private final JobRegistry jobs;
   private final WorkerRegistry workers;
-  private final Placer.Types types;
+  private final Scheduler.MachineTypes types;
   private long cpus;
   private long gpus;
   private long nextCountMicros;
 
-  DeadlineCapacity(JobRegistry jobs, WorkerRegistry workers, Placer.Types types) {
+  DeadlineCapacity(JobRegistry jobs, WorkerRegistry workers, Scheduler.MachineTypes types) {
     this.jobs = jobs;
     this.workers = workers;
     this.types = types;
@@ -44,7 +45,7 @@
     gpus = 0;
     for (Worker worker : workers.all()) {
       MachineType type = types.get(worker.type());
-      if (worker.entered() && !worker.leaving() && type != null) {
+      if (worker.registered() && !worker.terminating() && type != null) {
         count(worker, type, wallMicros);
       }
     }
@@ -52,13 +53,13 @@
 
   private void count(Worker worker, MachineType type, long wallMicros) {
     // A machine that should long since be up and has nothing on it while work waits is of no use.
-    boolean coming = wallMicros - worker.rentedWallMicros() < 2 * type.readyMicros();
+    boolean coming = wallMicros - worker.launchedWallMicros() < 2 * type.readyMicros();
     if (coming || !worker.attempts().isEmpty()) {
       add(type, type.cpus(), type.gpus());
     }
     for (Attempt attempt : worker.attempts().values()) {
-      Job job = attempt.closed ? null : jobs.active(attempt.slice().job());
-      if (job != null && job.spec().dueMicros() == 0) {
+      Job job = attempt.closed() ? null : jobs.active(attempt.slice().job());
+      if (job != null && job.spec().deadlineMicros() == 0) {
         add(type, -attempt.slice().cpus(), -attempt.slice().gpus());
       }
     }
--- a/src/main/java/gladeknot/placement/Urgency.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineOrder.java
@@ -1,10 +1,13 @@
-package gladeknot.placement;
+package gladeknot.scheduling;
 
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.policy.Policy;
 import gladeknot.settings.Settings;
+import gladeknot.tasks.RuntimeEstimates;
+import gladeknot.tasks.Slice;
+import gladeknot.tasks.SliceRegistry;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -22,7 +25,7 @@
  * would be late, the largest taken in so far is put off: that keeps the most jobs in time. Those
  * put off are looked at again by the class's next deadline, and after that go by age.
  */
-final class Urgency {
+final class DeadlineOrder {
   /** Keys of work that is late for all its deadlines begin here. */
   static final long LATE_KEY = Long.MAX_VALUE / 4;
 
@@ -40,7 +43,7 @@
 
   private final JobRegistry jobs;
   private final SliceRegistry slices;
-  private final Estimates estimates;
+  private final RuntimeEstimates estimates;
   private final List<Double> times;
   private final Map<String, Map<Double, Boolean>> known = new HashMap<>();
 
@@ -48,23 +51,23 @@
   private final Map<String, List<Settings.Objective>> others = new HashMap<>();
 
   private final Policy policy;
-  private final InheritedUrgency inherited;
+  private final PriorityInheritance inherited;
   private final Map<String, Long> keys = new HashMap<>();
   private long nextMicros;
   private long seenChanges = -1;
   private long seenWallMicros;
 
-  Urgency(
+  DeadlineOrder(
       Settings settings,
       Policy policy,
       JobRegistry jobs,
       SliceRegistry slices,
-      Estimates estimates) {
+      RuntimeEstimates estimates) {
     this.policy = policy;
     this.jobs = jobs;
     this.slices = slices;
     this.estimates = estimates;
-    this.inherited = new InheritedUrgency(jobs, estimates);
+    this.inherited = new PriorityInheritance(jobs, estimates);
     Set<Double> all = new HashSet<>();
     for (Settings.Objective o : settings.objectives()) {
       if (o.kind().equals("deadline")) {
@@ -79,28 +82,28 @@
 
   /** The order of a job among those of its rank; lower goes first. */
   long key(Job job) {
-    if (job.spec().dueMicros() == 0) {
+    if (job.spec().deadlineMicros() == 0) {
       return inheritedKey(job);
     }
     Long key = keys.get(job.id());
-    return key == null ? job.submittedMicros() + job.spec().dueMicros() : key;
+    return key == null ? job.submittedMicros() + job.spec().deadlineMicros() : key;
   }
 
   /** A job without a deadline goes by that of its pipeline, as long as it can be met. */
   private long inheritedKey(Job job) {
     long latest = inherited.latestEndMicros(job);
     boolean inTime =
-        latest < InheritedUrgency.NEVER
+        latest < PriorityInheritance.NEVER
             && seenWallMicros + START_MICROS + estimates.runMicros(job.spec()) <= latest;
     return inTime ? latest : LATE_KEY - 1;
   }
 
   /** A job's rank, or that of the most urgent job that waits for it. */
-  JobSpec.Rank rank(Job job) {
-    return inherited.rank(job);
+  JobSpec.Priority priority(Job job) {
+    return inherited.priority(job);
   }
 
-  /** By when a job has to end for its pipeline to be in time; see {@link InheritedUrgency}. */
+  /** By when a job has to end for its pipeline to be in time; see {@link PriorityInheritance}. */
   long latestEndMicros(Job job) {
     return inherited.latestEndMicros(job);
   }
@@ -116,9 +119,9 @@
     for (double time : known.getOrDefault(job.spec().jobClass(), Map.of()).keySet()) {
       last = Math.max(last, time);
     }
-    return job.spec().dueMicros() > 0
+    return job.spec().deadlineMicros() > 0
         && wallMicros + estimates.runMicros(job.spec())
-            > job.submittedMicros() + (long) (job.spec().dueMicros() * last);
+            > job.submittedMicros() + (long) (job.spec().deadlineMicros() * last);
   }
 
   /** How many tasks of a job the machines, there or coming, have places for. */
@@ -128,21 +131,21 @@
 
   /** Works the order out anew, now and then. */
   void refresh(long nowMicros, long wallMicros, Places places) {
-    if (nowMicros < nextMicros && seenChanges == jobs.changes()) {
+    if (nowMicros < nextMicros && seenChanges == jobs.changeCount()) {
       return;
     }
     nextMicros = nowMicros + AGAIN_MICROS;
-    seenChanges = jobs.changes();
+    seenChanges = jobs.changeCount();
     seenWallMicros = wallMicros;
     inherited.refresh();
     keys.clear();
     List<Job> open = new ArrayList<>();
     int slots = 0;
     for (Job job : jobs.active()) {
-      if (job.spec().dueMicros() > 0) {
+      if (job.spec().deadlineMicros() > 0) {
         open.add(job);
-        for (Slice s : slices.of(job.id())) {
-          slots += s.live();
+        for (Slice s : slices.inShard(job.id())) {
+          slots += s.liveCount();
         }
       }
     }
@@ -199,7 +202,8 @@
     for (Job job : open) {
       if (known.getOrDefault(job.spec().jobClass(), Map.of()).containsKey(time)) {
         long run = estimates.runMicros(job.spec());
-        long due = job.submittedMicros() + (long) (job.spec().dueMicros() * time) - TOLD_MICROS;
+        long due =
+            job.submittedMicros() + (long) (job.spec().deadlineMicros() * time) - TOLD_MICROS;
         entries.add(new Entry(job, (run + START_MICROS) * todo(job), run, due));
       } else {
         late.add(job);
@@ -235,8 +239,8 @@
 
   private int todo(Job job) {
     int sum = 0;
-    for (Slice s : slices.of(job.id())) {
-      sum += s.todoCount();
+    for (Slice s : slices.inShard(job.id())) {
+      sum += s.pendingCount();
     }
     return sum;
   }
--- a/src/main/java/gladeknot/placement/HomeSelector.java
+++ b/src/main/java/gladeknot/scheduling/HomeShardSelector.java
@@ -1,11 +1,12 @@
-package gladeknot.placement;
+package gladeknot.scheduling;
 
-import gladeknot.fleet.MachineType;
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.membership.Membership;
 import gladeknot.settings.Settings;
+import gladeknot.tasks.Attempt;
+import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
 import java.util.HashMap;
@@ -17,11 +18,11 @@
  * wants it to wait, it goes where most of its replicas find a machine with room that has the image
  * already.
  */
-public final class HomeSelector {
+public final class HomeShardSelector {
   private final Membership membership;
   private final JobRegistry jobs;
   private final WorkerRegistry workers;
-  private final Placer.Types types;
+  private final Scheduler.MachineTypes types;
 
   /**
    * How long tasks of a class may wait for their start; classes without such an aim are left out.
@@ -29,12 +30,12 @@
   private final Map<String, Long> waitMicros = new HashMap<>();
 
   /** A selector that goes by the machines and attempts in the followed copy. */
-  public HomeSelector(
+  public HomeShardSelector(
       Settings settings,
       Membership membership,
       JobRegistry jobs,
       WorkerRegistry workers,
-      Placer.Types types) {
+      Scheduler.MachineTypes types) {
     for (Settings.Objective objective : settings.objectives()) {
       if (objective.kind().equals("wait")) {
         waitMicros.merge(objective.jobClass(), objective.withinMicros(), Math::min);
@@ -48,7 +49,7 @@
 
   /** The shard that takes in a new job. */
   public int home(JobSpec spec) {
-    int best = membership.home();
+    int best = membership.homeShard();
     Long within = waitMicros.get(spec.jobClass());
     if (spec.shape() != JobSpec.Shape.SERVICE || within == null) {
       return best;
@@ -68,15 +69,16 @@
    * otherwise fetch it for too long.
    */
   private int[] readyReplicas(JobSpec spec, long withinMicros) {
-    int[] ready = new int[membership.shards()];
+    int[] ready = new int[membership.shardCount()];
     for (Worker worker : workers.all()) {
       MachineType type = types.get(worker.type());
-      boolean usable = type != null && worker.entered() && !worker.leaving() && !worker.releasing;
-      if (usable && spec.allows(worker.type(), worker.zone(), worker.spot())) {
+      boolean usable =
+          type != null && worker.registered() && !worker.terminating() && !worker.releasing();
+      if (usable && spec.allowsMachine(worker.type(), worker.zone(), worker.spot())) {
         learnImages(worker, type);
         double fetchMicros = spec.imageGb() / type.fetchGbPerS() * 1e6;
         if (fetchMicros > withinMicros && worker.hasImage(spec.image())) {
-          int fitting = ready[worker.shard()] + Room.of(worker, type).fits(spec);
+          int fitting = ready[worker.shard()] + CandidateMachine.of(worker, type).capacityFor(spec);
           ready[worker.shard()] = Math.min(spec.tasks(), fitting);
         }
       }
@@ -89,13 +91,13 @@
    * they have.
    */
   private void learnImages(Worker worker, MachineType type) {
-    if (membership.owned().contains(worker.shard())) {
+    if (membership.ownedShards().contains(worker.shard())) {
       return;
     }
     for (Attempt attempt : worker.attempts().values()) {
-      Job job = attempt.closed ? null : jobs.active(attempt.slice().job());
+      Job job = attempt.closed() ? null : jobs.active(attempt.slice().job());
       if (job != null) {
-        worker.hasImage(job.spec().image(), job.spec().imageGb(), type.cacheGb());
+        worker.cacheImage(job.spec().image(), job.spec().imageGb(), type.cacheGb());
       }
     }
   }
--- a/src/main/java/gladeknot/placement/WaitingSlice.java
+++ b/src/main/java/gladeknot/scheduling/PendingSlice.java
@@ -1,19 +1,20 @@
-package gladeknot.placement;
+package gladeknot.scheduling;
 
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobSpec;
+import gladeknot.tasks.Slice;
 
 /**
  * A slice with tasks to start; {@code key} orders those of one rank. What stands before the key in
  * the order is worked out once, as one number: each pass sorts all that waits.
  */
-record WaitingSlice(
+record PendingSlice(
     Slice slice,
     Job job,
-    boolean foreign,
+    boolean remote,
     boolean starved,
     boolean guaranteed,
-    long key,
+    long deadlineKey,
     int order) {
   private static final int RANK = 128;
   private static final int NOT_STARVED = 64;
@@ -22,10 +23,10 @@
   /** Between two tiers of deadlines, for whose it is. */
   private static final int TIER = 2;
 
-  WaitingSlice(
+  PendingSlice(
       Slice slice,
       Job job,
-      JobSpec.Rank rank,
+      JobSpec.Priority rank,
       boolean foreign,
       boolean starved,
       boolean guaranteed,
@@ -40,29 +41,29 @@
         rank.ordinal() * RANK
             + (starved ? 0 : NOT_STARVED)
             + (guaranteed ? 0 : NOT_GUARANTEED)
-            + Urgency.tier(key) * TIER
+            + DeadlineOrder.tier(key) * TIER
             + (foreign ? 1 : 0));
   }
 
   /** The same for a slice of ours that takes its tasks over. */
-  WaitingSlice of(Slice own) {
-    return new WaitingSlice(own, job, false, starved, guaranteed, key, order);
+  PendingSlice of(Slice own) {
+    return new PendingSlice(own, job, false, starved, guaranteed, deadlineKey, order);
   }
 
-  static int inOrder(WaitingSlice a, WaitingSlice b) {
+  static int inOrder(PendingSlice a, PendingSlice b) {
     return a.order != b.order ? Integer.compare(a.order, b.order) : byKey(a, b);
   }
 
-  private static int byKey(WaitingSlice a, WaitingSlice b) {
-    if (a.key != b.key) {
-      return Long.compare(a.key, b.key);
+  private static int byKey(PendingSlice a, PendingSlice b) {
+    if (a.deadlineKey != b.deadlineKey) {
+      return Long.compare(a.deadlineKey, b.deadlineKey);
     }
     long first = a.job.readyMicros();
     long second = b.job.readyMicros();
     return first != second ? Long.compare(first, second) : a.job.id().compareTo(b.job.id());
   }
 
-  static int inQueue(WaitingSlice a, WaitingSlice b) {
+  static int inQueue(PendingSlice a, PendingSlice b) {
     int first = a.order & -NOT_GUARANTEED;
     int second = b.order & -NOT_GUARANTEED;
     return first != second ? Integer.compare(first, second) : byKey(a, b);
--- a/src/main/java/gladeknot/placement/Preemption.java
+++ b/src/main/java/gladeknot/scheduling/Preemption.java
@@ -1,10 +1,13 @@
-package gladeknot.placement;
+package gladeknot.scheduling;
 
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.policy.Policy;
 import gladeknot.settings.Settings;
+import gladeknot.tasks.Attempt;
+import gladeknot.tasks.Slice;
+import gladeknot.tasks.SliceRegistry;
 import gladeknot.workers.Worker;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -20,7 +23,7 @@
  * Which tasks may be stopped for another: those of lower priority, and what another team runs
  * beyond its own guarantee where that brings a team its guarantee.
  */
-final class Preemption {
+public final class Preemption {
   /** Grace beyond {@code flushS}, for the way there and the worker's clock. */
   private static final double GRACE_MARGIN_S = 0.5;
 
@@ -33,7 +36,7 @@
   private final Policy policy;
   private final JobRegistry jobs;
   private final SliceRegistry slices;
-  private final Function<Job, JobSpec.Rank> rankOf;
+  private final Function<Job, JobSpec.Priority> rankOf;
 
   /** CPUs and GPUs by team over all shards, worked out anew for each pass. */
   private final Map<String, long[]> used = new HashMap<>();
@@ -52,7 +55,7 @@
       Policy policy,
       JobRegistry jobs,
       SliceRegistry slices,
-      Function<Job, JobSpec.Rank> rankOf) {
+      Function<Job, JobSpec.Priority> rankOf) {
     this.rankOf = rankOf;
     this.settings = settings;
     this.policy = policy;
@@ -67,15 +70,15 @@
 
   /** Counts anew what each team uses, and now and then which jobs are within a guarantee. */
   void refresh(int shards, long nowMicros) {
-    if (jobs.changes() != seenChanges || nowMicros >= nextGuaranteedMicros) {
-      seenChanges = jobs.changes();
+    if (jobs.changeCount() != seenChanges || nowMicros >= nextGuaranteedMicros) {
+      seenChanges = jobs.changeCount();
       nextGuaranteedMicros = nowMicros + GUARANTEED_MICROS;
       findGuaranteed();
     }
     used.clear();
     for (int shard = 0; shard < shards; shard++) {
-      for (Slice s : slices.of(shard)) {
-        int live = s.live();
+      for (Slice s : slices.inShard(shard)) {
+        int live = s.liveCount();
         if (live > 0) {
           long[] sum = used.computeIfAbsent(s.team(), t -> new long[2]);
           sum[0] += s.cpus() * live;
@@ -107,8 +110,8 @@
       JobSpec spec = job.spec();
       Settings.Team team = settings.teams().get(spec.team());
       long open = job.tasks();
-      for (Slice s : slices.of(job.id())) {
-        open -= s.done.cardinality();
+      for (Slice s : slices.inShard(job.id())) {
+        open -= s.done().cardinality();
       }
       long[] sum = sums.computeIfAbsent(spec.team(), t -> new long[2]);
       sum[0] += spec.cpus() * open;
@@ -130,22 +133,23 @@
 
   private boolean mayStop(JobSpec spec, Attempt a, long nowMicros) {
     Job job = jobs.active(a.slice().job());
-    if (job == null || a.closed || a.killed() || !a.committed) {
+    if (job == null || a.closed() || a.killRequested() || !a.committed()) {
       return false;
     }
-    if (rankOf.apply(job).ordinal() > spec.rank().ordinal()) {
+    if (rankOf.apply(job).ordinal() > spec.priority().ordinal()) {
       return true;
     }
     return equalRanks
         && !job.spec().team().equals(spec.team())
-        && job.spec().rank().ordinal() >= spec.rank().ordinal()
+        && job.spec().priority().ordinal() >= spec.priority().ordinal()
         && guaranteed(spec.id())
         && !guaranteed(job.id())
         && lossS(a, nowMicros) <= policy.number(Policy.Name.YOUNG)
         && beyondGuarantee(a.slice());
   }
 
-  private record Asker(JobSpec.Rank rank, String team, boolean guaranteed, boolean equalRanks) {}
+  private record Asker(
+      JobSpec.Priority rank, String team, boolean guaranteed, boolean equalRanks) {}
 
   private final Map<Asker, Boolean> victims = new HashMap<>();
 
@@ -162,7 +166,7 @@
   /** Whether anything may be stopped for a job at all: most often nothing, and one look tells. */
   boolean anyVictim(JobSpec spec, Collection<Worker> workers, long nowMicros) {
     return victims.computeIfAbsent(
-        new Asker(spec.rank(), spec.team(), guaranteed(spec.id()), equalRanks),
+        new Asker(spec.priority(), spec.team(), guaranteed(spec.id()), equalRanks),
         asker -> {
           for (Worker w : workers) {
             for (Attempt a : w.attempts().values()) {
@@ -177,18 +181,21 @@
 
   /** What stopping a task loses, in seconds of its machine's work. */
   private double lossS(Attempt a, long nowMicros) {
-    if (a.runningSinceMicros == 0) {
+    if (a.runningSinceMicros() == 0) {
       return 0.5;
     }
     JobSpec spec = jobs.active(a.slice().job()).spec();
-    double ran = (nowMicros - a.runningSinceMicros) / MICROS;
-    double lost = spec.snapshotMicros() > 0 ? Math.min(ran, 2 + spec.flushMicros() / MICROS) : ran;
+    double ran = (nowMicros - a.runningSinceMicros()) / MICROS;
+    double lost =
+        spec.checkpointIntervalMicros() > 0
+            ? Math.min(ran, 2 + spec.checkpointMicros() / MICROS)
+            : ran;
     // What takes more of the machine loses more with it.
     return (lost + 1) * (1 + a.slice().gpus() / 1000.0);
   }
 
   /** The cheapest victims that make room for a task on a machine; null if that can't be. */
-  Plan plan(Room room, JobSpec spec, Set<Attempt> taken, long nowMicros) {
+  Plan plan(CandidateMachine room, JobSpec spec, Set<Attempt> taken, long nowMicros) {
     List<Attempt> able = new ArrayList<>();
     for (Attempt a : room.worker.attempts().values()) {
       if (!taken.contains(a) && mayStop(spec, a, nowMicros)) {
@@ -196,9 +203,9 @@
       }
     }
     able.sort(Comparator.comparingDouble(a -> lossS(a, nowMicros)));
-    long c = room.cpus + room.stoppingCpus - spec.cpus();
-    long g = room.gpus + room.stoppingGpus - spec.gpus();
-    long m = room.memory + room.stoppingMemory - spec.memory();
+    long c = room.freeCpus + room.terminatingCpus - spec.cpus();
+    long g = room.freeGpus + room.terminatingGpus - spec.gpus();
+    long m = room.freeMemory + room.terminatingMemory - spec.memory();
     List<Attempt> victims = new ArrayList<>();
     double loss = 0;
     for (Attempt a : able) {
@@ -226,8 +233,10 @@
   }
 
   /** The same for a task of a job that goes on. */
-  static double graceS(JobSpec spec) {
-    return spec.snapshotMicros() == 0 ? 0 : spec.flushMicros() / MICROS + GRACE_MARGIN_S;
+  public static double graceS(JobSpec spec) {
+    return spec.checkpointIntervalMicros() == 0
+        ? 0
+        : spec.checkpointMicros() / MICROS + GRACE_MARGIN_S;
   }
 
   /** Notes that a task is to be stopped. */
--- a/src/main/java/gladeknot/placement/Placer.java
+++ b/src/main/java/gladeknot/scheduling/Scheduler.java
@@ -1,14 +1,21 @@
-package gladeknot.placement;
+package gladeknot.scheduling;
 
-import gladeknot.connectivity.OrderKind;
-import gladeknot.fleet.MachineType;
+import gladeknot.commit.TransactionCommitter;
+import gladeknot.connectivity.ControlAction;
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
+import gladeknot.lifecycle.TaskLifecycle;
 import gladeknot.membership.Membership;
 import gladeknot.policy.Policy;
+import gladeknot.quota.QuotaAllocator;
 import gladeknot.settings.Settings;
-import gladeknot.teams.Budgets;
+import gladeknot.tasks.Attempt;
+import gladeknot.tasks.RuntimeEstimates;
+import gladeknot.tasks.Slice;
+import gladeknot.tasks.SliceRegistry;
+import gladeknot.tasks.TaskRequirements;
+import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
 import java.util.ArrayList;
@@ -25,8 +32,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Decides starts on the workers of the shards that are ours. */
-public final class Placer {
-  private static final Logger LOG = LoggerFactory.getLogger(Placer.class);
+public final class Scheduler {
+  private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
   private static final long PASS_MICROS = 60_000;
 
   /**
@@ -35,7 +42,7 @@
    */
   private static final double USUAL_SHARE = 25;
 
-  private static final double MOST_SLOWED = 8;
+  private static final double MAX_SLOWED = 8;
 
   /** Workers become usable with time as well: a pass comes now and then in any case. */
   private static final long AGAIN_MICROS = 400_000;
@@ -57,7 +64,7 @@
   private static final long TURN_MICROS = 10_000_000;
 
   /** Names of machine types and what they are. */
-  public interface Types {
+  public interface MachineTypes {
     MachineType get(String name);
   }
 
@@ -65,11 +72,16 @@
    * Tasks of one slice that wait for room; starved are those that are late for all their deadlines
    * and that newer work keeps going before.
    */
-  public record Need(
-      Job job, int shard, int count, boolean ours, boolean starved, Map<String, Integer> inZone) {}
+  public record PendingDemand(
+      Job job,
+      int shard,
+      int count,
+      boolean owned,
+      boolean starved,
+      Map<String, Integer> tasksByZone) {}
 
   /** All that waits for room, in the order in which it would get it. */
-  public record Queue(List<Need> waiting) {}
+  public record DemandQueue(List<PendingDemand> pending) {}
 
   private final Settings settings;
   private final Policy policy;
@@ -77,39 +89,29 @@
   private final JobRegistry jobs;
   private final SliceRegistry slices;
   private final WorkerRegistry workers;
-  private final RecordWriter recordWriter;
-  private final Budgets budgets;
-  private final Scheduler scheduler;
-  private final Types types;
+  private final TransactionCommitter recordWriter;
+  private final QuotaAllocator budgets;
+  private final TaskLifecycle scheduler;
+  private final MachineTypes types;
   private final Preemption preemption;
-  private final Urgency urgency;
+  private final DeadlineOrder urgency;
   private final DeadlineCapacity deadlineCapacity;
   private final Supplier<List<String>> zonesOffered;
 
   /** Kept, since it is asked for each machine that a replica is weighed on. */
   private final Set<String> controllerZones;
 
-  private final Map<String, Budgets.Amount> left = new HashMap<>();
-
-  /** What decides whether a machine takes a task, for jobs that may be in any zones. */
-  record Kind(
-      long cpus,
-      long gpus,
-      long memory,
-      List<String> types,
-      String zone,
-      boolean spot,
-      boolean service) {}
+  private final Map<String, QuotaAllocator.ResourceAmount> left = new HashMap<>();
 
   /**
    * Kinds of tasks that no machine has room for, and that none will have once what stops has
    * stopped: room only shrinks while a pass goes on, so one look serves all slices that wait.
    */
-  private final Set<Kind> full = new HashSet<>();
+  private final Set<TaskRequirements> full = new HashSet<>();
 
-  private final Set<Kind> hopeless = new HashSet<>();
+  private final Set<TaskRequirements> hopeless = new HashSet<>();
   private final long guaranteeMicros;
-  private long passes;
+  private long completedRounds;
   private long nextMicros;
   private long againMicros;
   private long starveMicros;
@@ -117,17 +119,17 @@
   private long wallMicros;
 
   /** A matcher of tasks and machines that has decided nothing yet. */
-  public Placer(
+  public Scheduler(
       Settings settings,
       Policy policy,
       Membership membership,
       JobRegistry jobs,
       SliceRegistry slices,
       WorkerRegistry workers,
-      RecordWriter recordWriter,
-      Budgets budgets,
-      Scheduler scheduler,
-      Types types,
+      TransactionCommitter recordWriter,
+      QuotaAllocator budgets,
+      TaskLifecycle scheduler,
+      MachineTypes types,
       Supplier<List<String>> zonesOffered) {
     this.settings = settings;
     this.policy = policy;
@@ -149,60 +151,61 @@
     }
     this.guaranteeMicros = within;
     this.deadlineCapacity = new DeadlineCapacity(jobs, workers, types);
-    this.urgency = new Urgency(settings, policy, jobs, slices, scheduler.estimates());
-    this.preemption = new Preemption(settings, policy, jobs, slices, urgency::rank);
+    this.urgency = new DeadlineOrder(settings, policy, jobs, slices, scheduler.estimates());
+    this.preemption = new Preemption(settings, policy, jobs, slices, urgency::priority);
   }
 
   /** What waits in all shards. */
-  public Queue queue() {
+  public DemandQueue demandQueue() {
     starveMicros = policy.micros(Policy.Name.STARVE_AFTER);
-    List<WaitingSlice> all = new ArrayList<>();
-    for (int shard = 0; shard < membership.shards(); shard++) {
-      boolean ours = membership.permits(OrderKind.DECIDE, shard);
-      for (Slice s : slices.of(shard)) {
+    List<PendingSlice> all = new ArrayList<>();
+    for (int shard = 0; shard < membership.shardCount(); shard++) {
+      boolean ours = membership.permits(ControlAction.SCHEDULE, shard);
+      for (Slice s : slices.inShard(shard)) {
         Job job = jobs.active(s.job());
-        if (job != null && s.todoCount() > 0 && nowMicros >= s.restUntilMicros) {
+        if (job != null && s.pendingCount() > 0 && nowMicros >= s.backoffUntilMicros()) {
           all.add(waiting(s, job, !ours));
         }
       }
     }
     all.sort(QUEUE_ORDER);
-    List<Need> queue = new ArrayList<>();
-    Map<String, Budgets.Amount> open = new HashMap<>();
-    for (WaitingSlice w : all) {
+    List<PendingDemand> queue = new ArrayList<>();
+    Map<String, QuotaAllocator.ResourceAmount> open = new HashMap<>();
+    for (PendingSlice w : all) {
       JobSpec spec = w.job().spec();
-      int count = w.slice().todoCount();
+      int count = w.slice().pendingCount();
       // What its team's limit keeps from running anywhere needs no machine.
-      Budgets.Amount a = open.computeIfAbsent(spec.team(), budgets::openAnywhere);
+      QuotaAllocator.ResourceAmount a = open.computeIfAbsent(spec.team(), budgets::clusterHeadroom);
       long n = Math.min(count, a.cpus() / spec.cpus());
       if (spec.gpus() > 0) {
         n = Math.min(n, a.gpus() / spec.gpus());
       }
-      if (w.starved() && spec.whole()) {
+      if (w.starved() && spec.unsplit()) {
         // Budget will be held for it: it must not lack a machine then.
         n = count;
       }
-      if (spec.shape() == JobSpec.Shape.SERVICE && spec.scatter()) {
+      if (spec.shape() == JobSpec.Shape.SERVICE && spec.spread()) {
         n = Math.min(n, zonesLeft(w.slice(), spec));
       }
       if (n > 0) {
         open.put(
             spec.team(),
-            new Budgets.Amount(a.cpus() - spec.cpus() * n, a.gpus() - spec.gpus() * n));
+            new QuotaAllocator.ResourceAmount(
+                a.cpus() - spec.cpus() * n, a.gpus() - spec.gpus() * n));
         queue.add(
-            new Need(
+            new PendingDemand(
                 w.job(),
                 w.slice().shard(),
                 (int) n,
-                !w.foreign(),
+                !w.remote(),
                 urgency.late(w.job(), wallMicros)
-                    && w.slice().waitingSinceMicros != 0
-                    && nowMicros - w.slice().waitingSinceMicros
+                    && w.slice().pendingSinceMicros() != 0
+                    && nowMicros - w.slice().pendingSinceMicros()
                         > policy.micros(Policy.Name.PATIENCE),
                 zoneCounts(spec)));
       }
     }
-    return new Queue(queue);
+    return new DemandQueue(queue);
   }
 
   /** How many more tasks of a spread job have a zone to go to. */
@@ -210,12 +213,12 @@
     Map<String, Integer> counts = slices.zoneCounts(s.job());
     long left = 0;
     for (String zone : zonesOffered.get()) {
-      left += Math.max(0, spec.perZone() - counts.getOrDefault(zone, 0));
+      left += Math.max(0, spec.maxPerZone() - counts.getOrDefault(zone, 0));
     }
     return left;
   }
 
-  public Estimates estimates() {
+  public RuntimeEstimates estimates() {
     return scheduler.estimates();
   }
 
@@ -225,16 +228,17 @@
   }
 
   /** When an attempt is likely to end. */
-  public long endsMicros(Attempt a) {
+  public long expectedEndMicros(Attempt a) {
     Job job = jobs.active(a.slice().job());
-    if (job == null || a.killed()) {
+    if (job == null || a.killRequested()) {
       return nowMicros + 1_000_000;
     }
     long run = estimates().runMicros(job.spec());
     if (run >= Long.MAX_VALUE / 4) {
       return run;
     }
-    long from = a.runningSinceMicros != 0 ? a.runningSinceMicros : a.decidedMicros() + START_MICROS;
+    long from =
+        a.runningSinceMicros() != 0 ? a.runningSinceMicros() : a.decidedMicros() + START_MICROS;
     return Math.max(nowMicros + run / 10, from + run);
   }
 
@@ -260,31 +264,31 @@
   public void tick(long now, long wall) {
     nowMicros = now;
     wallMicros = wall;
-    if (now < nextMicros || (now < againMicros && !scheduler.takeChanged())) {
+    if (now < nextMicros || (now < againMicros && !scheduler.takeSchedulingNeeded())) {
       return;
     }
     passNow();
   }
 
   /** How many times starts have been decided. */
-  public long passes() {
-    return passes;
+  public long completedRounds() {
+    return completedRounds;
   }
 
   /** Decides starts if something has changed and the last time is not too short ago. */
-  public void passSoon() {
-    if (nowMicros >= nextMicros && scheduler.takeChanged()) {
+  public void runIfNeeded() {
+    if (nowMicros >= nextMicros && scheduler.takeSchedulingNeeded()) {
       passNow();
     }
   }
 
   private void passNow() {
-    passes++;
-    double slower = workers.all().size() / (USUAL_SHARE * membership.shards());
-    nextMicros = nowMicros + (long) (PASS_MICROS * Math.max(1, Math.min(MOST_SLOWED, slower)));
+    completedRounds++;
+    double slower = workers.all().size() / (USUAL_SHARE * membership.shardCount());
+    nextMicros = nowMicros + (long) (PASS_MICROS * Math.max(1, Math.min(MAX_SLOWED, slower)));
     againMicros = nowMicros + AGAIN_MICROS;
-    for (int shard = 0; shard < membership.shards(); shard++) {
-      if (membership.permits(OrderKind.DECIDE, shard)) {
+    for (int shard = 0; shard < membership.shardCount(); shard++) {
+      if (membership.permits(ControlAction.SCHEDULE, shard)) {
         pass(shard);
       }
     }
@@ -292,16 +296,16 @@
   }
 
   /** Whether new tasks may go to a worker. */
-  public boolean usable(Worker w) {
-    return w.report() != null
-        && w.entered()
-        && !w.leaving()
-        && !w.releasing
-        && w.recallAtMicros() == 0
-        && nowMicros >= w.restUntilMicros
-        && w.errors < 4
-        && !w.deaf()
-        && nowMicros - w.reportMicros() < 2 * settings.workers().reportMicros() + 500_000
+  public boolean isSchedulable(Worker w) {
+    return w.heartbeat() != null
+        && w.registered()
+        && !w.terminating()
+        && !w.releasing()
+        && w.reclaimAtMicros() == 0
+        && nowMicros >= w.quarantinedUntilMicros()
+        && w.consecutiveFailures() < 4
+        && !w.unreachable()
+        && nowMicros - w.heartbeatMicros() < 2 * settings.workers().heartbeatMicros() + 500_000
         && types.get(w.type()) != null;
   }
 
@@ -309,24 +313,24 @@
     left.clear();
     full.clear();
     hopeless.clear();
-    budgets.clear(shard);
+    budgets.beginPass(shard);
     preemption.forgetVictims();
     urgency.refresh(
         nowMicros, wallMicros, spec -> deadlineCapacity.places(spec, nowMicros, wallMicros));
-    preemption.refresh(membership.shards(), nowMicros);
-    List<Room> rooms = new ArrayList<>();
-    for (Worker w : workers.of(shard)) {
-      if (usable(w)) {
-        rooms.add(Room.of(w, types.get(w.type())));
+    preemption.refresh(membership.shardCount(), nowMicros);
+    List<CandidateMachine> rooms = new ArrayList<>();
+    for (Worker w : workers.inShard(shard)) {
+      if (isSchedulable(w)) {
+        rooms.add(CandidateMachine.of(w, types.get(w.type())));
       }
     }
-    List<WaitingSlice> all = new ArrayList<>();
-    for (int from = 0; from < membership.shards(); from++) {
+    List<PendingSlice> all = new ArrayList<>();
+    for (int from = 0; from < membership.shardCount(); from++) {
       waiting(from, shard, all);
     }
     all.sort(ORDER);
-    for (WaitingSlice w : all) {
-      int rest = w.foreign() ? claim(w, shard, rooms) : place(w, rooms, shard);
+    for (PendingSlice w : all) {
+      int rest = w.remote() ? claim(w, shard, rooms) : place(w, rooms, shard);
       if (rest > 0) {
         await(w, rest, rooms, shard);
       }
@@ -338,35 +342,35 @@
    * then what is due first, then what came first. The own shard's work that is late already must
    * not go before what can be in time elsewhere.
    */
-  private static final Comparator<WaitingSlice> ORDER = WaitingSlice::inOrder;
+  private static final Comparator<PendingSlice> ORDER = PendingSlice::inOrder;
 
   /** The same without regard to whose it is. */
-  private static final Comparator<WaitingSlice> QUEUE_ORDER = WaitingSlice::inQueue;
+  private static final Comparator<PendingSlice> QUEUE_ORDER = PendingSlice::inQueue;
 
   /** A running task's rank; what belongs to a job that is over is as good as gone. */
-  public JobSpec.Rank rank(Attempt a) {
+  public JobSpec.Priority priority(Attempt a) {
     Job job = jobs.active(a.slice().job());
-    return job == null ? JobSpec.Rank.IDLE : urgency.rank(job);
+    return job == null ? JobSpec.Priority.IDLE : urgency.priority(job);
   }
 
-  private WaitingSlice waiting(Slice s, Job job, boolean foreign) {
+  private PendingSlice waiting(Slice s, Job job, boolean foreign) {
     // Work that newer work keeps going before would never begin under a steady load. Of an array
     // one
     // task is enough for that: all of it would make the rest late as well.
     boolean starved =
-        wallMicros - job.readyMicros() > starveMicros && (job.spec().whole() || !begun(job));
+        wallMicros - job.readyMicros() > starveMicros && (job.spec().unsplit() || !begun(job));
     // A guarantee is for work that has just come: what has waited for longer than that is meant to
     // has missed it, and would now only keep others from their deadlines.
     boolean guaranteed =
         preemption.guaranteed(job.id())
             && wallMicros - job.readyMicros() < guaranteeMicros + GUARANTEE_MARGIN_MICROS;
-    return new WaitingSlice(
-        s, job, urgency.rank(job), foreign, starved, guaranteed, urgency.key(job));
+    return new PendingSlice(
+        s, job, urgency.priority(job), foreign, starved, guaranteed, urgency.key(job));
   }
 
   private boolean begun(Job job) {
-    for (Slice s : slices.of(job.id())) {
-      if (s.live() > 0 || !s.done.isEmpty()) {
+    for (Slice s : slices.inShard(job.id())) {
+      if (s.liveCount() > 0 || !s.done().isEmpty()) {
         return true;
       }
     }
@@ -374,31 +378,29 @@
   }
 
   /** The slices of one shard that wait; those of others only once they have waited a while. */
-  private void waiting(int from, int shard, List<WaitingSlice> into) {
+  private void waiting(int from, int shard, List<PendingSlice> into) {
     boolean foreign = from != shard;
     starveMicros = policy.micros(Policy.Name.STARVE_AFTER);
     long claimMicros = policy.micros(Policy.Name.CLAIM_AFTER);
-    for (Slice s : slices.of(from)) {
+    for (Slice s : slices.inShard(from)) {
       Job job = jobs.active(s.job());
-      if (job == null || s.todoCount() == 0) {
-        s.waitingSinceMicros = 0;
+      if (job == null || s.pendingCount() == 0) {
+        s.clearPending();
         continue;
       }
-      if (s.waitingSinceMicros == 0) {
-        s.waitingSinceMicros = nowMicros;
-      }
-      if (!foreign || nowMicros - s.waitingSinceMicros >= claimMicros) {
+      s.markPending(nowMicros);
+      if (!foreign || nowMicros - s.pendingSinceMicros() >= claimMicros) {
         into.add(waiting(s, job, foreign));
       }
     }
   }
 
-  private Budgets.Amount left(String team, int shard) {
+  private QuotaAllocator.ResourceAmount left(String team, int shard) {
     return left.computeIfAbsent(team, t -> budgets.available(t, shard));
   }
 
   private int allowedByBudget(JobSpec spec, int shard) {
-    Budgets.Amount a = left(spec.team(), shard);
+    QuotaAllocator.ResourceAmount a = left(spec.team(), shard);
     long n = a.cpus() / spec.cpus();
     if (spec.gpus() > 0) {
       n = Math.min(n, a.gpus() / spec.gpus());
@@ -407,32 +409,34 @@
   }
 
   private void charge(JobSpec spec, int count, int shard) {
-    Budgets.Amount a = left(spec.team(), shard);
+    QuotaAllocator.ResourceAmount a = left(spec.team(), shard);
     left.put(
         spec.team(),
-        new Budgets.Amount(a.cpus() - spec.cpus() * count, a.gpus() - spec.gpus() * count));
+        new QuotaAllocator.ResourceAmount(
+            a.cpus() - spec.cpus() * count, a.gpus() - spec.gpus() * count));
   }
 
   /** How many more attempts the part that a slice lies in has room for. */
   private int recordRoom(Slice s) {
     int undecided = 0;
-    for (Attempt a : s.out.values()) {
-      undecided += a.committed ? 0 : 1;
+    for (Attempt a : s.attemptsByTask().values()) {
+      undecided += a.committed() ? 0 : 1;
     }
-    return slices.attemptRoom(s, undecided);
+    return slices.attemptCapacity(s, undecided);
   }
 
   /** Places what it can of a slice; returns how many tasks wait for room. */
-  private int place(WaitingSlice w, List<Room> rooms, int shard) {
+  private int place(PendingSlice w, List<CandidateMachine> rooms, int shard) {
     Slice s = w.slice();
     JobSpec spec = w.job().spec();
-    int todo = s.todoCount();
-    if (nowMicros < s.restUntilMicros || (recordWriter.busy(s) && !s.claims.isEmpty())) {
+    int todo = s.pendingCount();
+    if (nowMicros < s.backoffUntilMicros()
+        || (recordWriter.isInFlight(s) && !s.pendingClaims().isEmpty())) {
       return 0;
     }
     int allowed = allowedByBudget(spec, shard);
     if (spec.shape() == JobSpec.Shape.GANG) {
-      if (!s.out.isEmpty()) {
+      if (!s.attemptsByTask().isEmpty()) {
         return 0;
       }
       if (allowed < todo) {
@@ -448,27 +452,27 @@
     int wanted = Math.min(todo, allowed);
     int count = Math.min(wanted, recordRoom(s));
     boolean recordFull = count < wanted;
-    if (w.starved() && !spec.whole()) {
+    if (w.starved() && !spec.unsplit()) {
       count = Math.min(count, 1);
     }
     int placed = 0;
-    int next = s.nextTodo(0);
-    Kind kind = kind(w.slice(), spec);
+    int next = s.nextPending(0);
+    TaskRequirements kind = kind(w.slice(), spec);
     while (placed < count && next >= 0 && !full.contains(kind)) {
-      Room room = best(s, spec, rooms, null);
+      CandidateMachine room = best(s, spec, rooms, null);
       if (room == null) {
         if (kind != null) {
           full.add(kind);
         }
         break;
       }
-      start(s, next, s.nextNumber(), room);
+      start(s, next, s.nextAttemptNumber(), room);
       placed++;
-      next = s.nextTodo(next + 1);
+      next = s.nextPending(next + 1);
     }
     charge(spec, placed, shard);
     if (recordFull && placed == count && best(s, spec, rooms, null) != null) {
-      membership.format().partsFull();
+      membership.format().reportSegmentFull();
     }
     return count - placed;
   }
@@ -478,16 +482,19 @@
    * there is, or it never comes to all it needs. Others that could claim it do the same once it has
    * starved, in turns: two that held on to a part each would wait for ever.
    */
-  private void holdBudget(WaitingSlice w, int todo, int allowed, List<Room> rooms, int shard) {
+  private void holdBudget(
+      PendingSlice w, int todo, int allowed, List<CandidateMachine> rooms, int shard) {
     JobSpec spec = w.job().spec();
-    boolean turn = wallMicros / TURN_MICROS % membership.shards() == shard;
-    if (!turn && (w.foreign() || w.starved())) {
+    boolean turn = wallMicros / TURN_MICROS % membership.shardCount() == shard;
+    if (!turn && (w.remote() || w.starved())) {
       return;
     }
     charge(spec, allowed, shard);
     if (turn) {
       budgets.reserve(
-          spec.team(), shard, new Budgets.Amount(spec.cpus() * allowed, spec.gpus() * allowed));
+          spec.team(),
+          shard,
+          new QuotaAllocator.ResourceAmount(spec.cpus() * allowed, spec.gpus() * allowed));
     }
     if (w.starved()) {
       hold(spec, todo, rooms, slices.zoneCounts(spec.id()));
@@ -495,54 +502,56 @@
   }
 
   /** Asks for budget as far as there is, or may be made, room for the tasks that lack it. */
-  private void lacks(JobSpec spec, int todo, int allowed, List<Room> rooms, int shard) {
+  private void lacks(JobSpec spec, int todo, int allowed, List<CandidateMachine> rooms, int shard) {
     long able = 0;
-    for (Room room : rooms) {
+    for (CandidateMachine room : rooms) {
       if (able >= todo) {
         // More is never asked for.
         break;
       }
-      if (room.allows(spec)) {
-        able += Math.max(room.fits(spec), spec.rank() == JobSpec.Rank.NORMAL ? 0 : 1);
+      if (room.satisfiesConstraints(spec)) {
+        able +=
+            Math.max(room.capacityFor(spec), spec.priority() == JobSpec.Priority.NORMAL ? 0 : 1);
       }
     }
     long n = spec.shape() == JobSpec.Shape.GANG ? todo : Math.min(able, todo);
     if (able > 0 && n > allowed) {
-      Budgets.Amount a = left(spec.team(), shard);
-      budgets.lacks(
+      QuotaAllocator.ResourceAmount a = left(spec.team(), shard);
+      budgets.reportDeficit(
           spec.team(),
           shard,
-          new Budgets.Amount(
+          new QuotaAllocator.ResourceAmount(
               Math.max(0, spec.cpus() * n - a.cpus()), Math.max(0, spec.gpus() * n - a.gpus())));
     }
   }
 
-  private boolean placeGang(Slice s, JobSpec spec, List<Room> rooms, int todo, int shard) {
+  private boolean placeGang(
+      Slice s, JobSpec spec, List<CandidateMachine> rooms, int todo, int shard) {
     List<String> zones = new ArrayList<>();
-    if (spec.together()) {
+    if (spec.colocated()) {
       rooms.stream().map(r -> r.worker.zone()).distinct().forEach(zones::add);
     } else {
       zones.add(null);
     }
     for (String zone : zones) {
-      List<Room> chosen = new ArrayList<>();
+      List<CandidateMachine> chosen = new ArrayList<>();
       Map<String, Integer> perZone = slices.zoneCounts(s.job());
       while (chosen.size() < todo) {
-        Room room = best(s, spec, rooms, zone, perZone);
+        CandidateMachine room = best(s, spec, rooms, zone, perZone);
         if (room == null) {
           break;
         }
-        room.take(spec);
+        room.allocate(spec);
         perZone.merge(room.worker.zone(), 1, Integer::sum);
         chosen.add(room);
       }
-      chosen.forEach(r -> r.take(-spec.cpus(), -spec.gpus(), -spec.memory()));
+      chosen.forEach(r -> r.allocate(-spec.cpus(), -spec.gpus(), -spec.memory()));
       if (chosen.size() == todo) {
-        long number = s.nextNumber();
-        int task = s.nextTodo(0);
-        for (Room room : chosen) {
+        long number = s.nextAttemptNumber();
+        int task = s.nextPending(0);
+        for (CandidateMachine room : chosen) {
           start(s, task, number, room);
-          task = s.nextTodo(task + 1);
+          task = s.nextPending(task + 1);
         }
         charge(spec, todo, shard);
         return true;
@@ -553,39 +562,32 @@
 
   /** Where a job's tasks are, as far as that decides where the next may go. */
   private Map<String, Integer> zoneCounts(JobSpec spec) {
-    return spec.scatter() || spec.together() ? slices.zoneCounts(spec.id()) : new HashMap<>();
+    return spec.spread() || spec.colocated() ? slices.zoneCounts(spec.id()) : new HashMap<>();
   }
 
   /** Null for jobs whose tasks' zones depend on one another. */
-  private static Kind kind(Slice s, JobSpec spec) {
-    if (spec.scatter() || spec.together()) {
+  private static TaskRequirements kind(Slice s, JobSpec spec) {
+    if (spec.spread() || spec.colocated()) {
       return null;
     }
-    if (s.kind == null) {
-      s.kind =
-          new Kind(
-              spec.cpus(),
-              spec.gpus(),
-              spec.memory(),
-              spec.types(),
-              spec.zone(),
-              spec.spot(),
-              spec.shape() == JobSpec.Shape.SERVICE);
-    }
-    return s.kind;
+    return s.requirements(spec);
   }
 
-  private Room best(Slice s, JobSpec spec, List<Room> rooms, String zone) {
+  private CandidateMachine best(Slice s, JobSpec spec, List<CandidateMachine> rooms, String zone) {
     return best(s, spec, rooms, zone, zoneCounts(spec));
   }
 
   /** The room that suits a task best; null if none does. */
-  private Room best(
-      Slice s, JobSpec spec, List<Room> rooms, String zone, Map<String, Integer> perZone) {
-    Room best = null;
+  private CandidateMachine best(
+      Slice s,
+      JobSpec spec,
+      List<CandidateMachine> rooms,
+      String zone,
+      Map<String, Integer> perZone) {
+    CandidateMachine best = null;
     double bestScore = 0;
-    for (Room room : rooms) {
-      if (room.fits(spec) == 0 || !suits(spec, room, zone, perZone)) {
+    for (CandidateMachine room : rooms) {
+      if (room.capacityFor(spec) == 0 || !suits(spec, room, zone, perZone)) {
         continue;
       }
       double score = score(spec, room, perZone.getOrDefault(room.worker.zone(), 0));
@@ -598,59 +600,60 @@
   }
 
   /** Whether a job's next task may go to a machine, whatever is free there. */
-  private static boolean suits(JobSpec spec, Room room, String zone, Map<String, Integer> perZone) {
+  private static boolean suits(
+      JobSpec spec, CandidateMachine room, String zone, Map<String, Integer> perZone) {
     String in = room.worker.zone();
-    return room.allows(spec)
+    return room.satisfiesConstraints(spec)
         && (zone == null || zone.equals(in))
-        && spec.zoneOpen(in, perZone)
+        && spec.allowsZone(in, perZone)
         && (spec.gpus() > 0 || room.type.gpus() == 0 || spec.shape() != JobSpec.Shape.SERVICE);
   }
 
   /** Lower is better: what the fetch costs, then rare GPUs, then the fullest machine. */
-  private double score(JobSpec spec, Room room, int inZone) {
+  private double score(JobSpec spec, CandidateMachine room, int inZone) {
     double fetch =
         room.worker.hasImage(spec.image()) ? 0 : spec.imageGb() / room.type.fetchGbPerS();
     double gpus = spec.gpus() == 0 && room.type.gpus() > 0 ? 30 : 0;
-    double kind = spec.spot() && !room.worker.spot() ? 2 : 0;
-    double spread = spec.scatter() ? inZone : 0;
-    double empty = (double) room.cpus / room.type.cpus();
+    double kind = spec.spotAllowed() && !room.worker.spot() ? 2 : 0;
+    double spread = spec.spread() ? inZone : 0;
+    double empty = (double) room.freeCpus / room.type.cpus();
     // A zone without a controller loses its workers' leases when it is cut off.
     double lonely =
         spec.shape() == JobSpec.Shape.SERVICE && !controllerZones.contains(room.worker.zone())
             ? 2
             : 0;
     // A machine that is not needed is to run empty and be given back.
-    double unneeded = room.worker.unneeded ? UNNEEDED : 0;
+    double unneeded = room.worker.surplus() ? UNNEEDED : 0;
     // A run waits for the machine's next report: with many machines some report sooner than others.
-    long next = room.worker.nextAnswerMicros(settings.workers().reportMicros());
+    long next = room.worker.nextAnswerMicros(settings.workers().heartbeatMicros());
     double answer = Math.max(0, next - nowMicros) / 1e6;
-    double haste = spec.rank().ordinal() <= JobSpec.Rank.HIGH.ordinal() ? 1 : PATIENT;
+    double haste = spec.priority().ordinal() <= JobSpec.Priority.HIGH.ordinal() ? 1 : PATIENT;
     return fetch + gpus + kind + spread + empty + lonely + unneeded + haste * answer;
   }
 
-  private void start(Slice s, int task, long number, Room room) {
-    room.take(s.cpus(), s.gpus(), s.memory());
+  private void start(Slice s, int task, long number, CandidateMachine room) {
+    room.allocate(s.cpus(), s.gpus(), s.memory());
     preemption.started(jobs.active(s.job()).spec());
-    slices.put(new Attempt(s, task, number, room.worker.host(), nowMicros));
-    recordWriter.changed(s);
+    slices.addAttempt(new Attempt(s, task, number, room.worker.host(), nowMicros));
+    recordWriter.markDirty(s);
   }
 
   /**
    * Takes other shards' tasks that wait into a slice of ours, as far as they start at once. Returns
    * how many it had no room for.
    */
-  private int claim(WaitingSlice w, int shard, List<Room> rooms) {
+  private int claim(PendingSlice w, int shard, List<CandidateMachine> rooms) {
     Slice from = w.slice();
     JobSpec spec = w.job().spec();
     boolean gang = spec.shape() == JobSpec.Shape.GANG;
-    if (gang && !from.out.isEmpty()) {
+    if (gang && !from.attemptsByTask().isEmpty()) {
       return 0;
     }
-    int todo = from.todoCount();
+    int todo = from.pendingCount();
     if (!gang && full.contains(kind(from, spec))) {
       return Math.min(todo, allowedByBudget(spec, shard));
     }
-    if (recordWriter.busy(from)) {
+    if (recordWriter.isInFlight(from)) {
       // Until the part that it lies in is written, room is held for it: if others got that, they
       // would be stopped for it again.
       return todo;
@@ -661,7 +664,7 @@
     }
     int allowed = allowedByBudget(spec, shard);
     int count = Math.min(todo, Math.min(allowed, recordRoom(own)));
-    if (w.starved() && !spec.whole()) {
+    if (w.starved() && !spec.unsplit()) {
       count = Math.min(count, 1);
     }
     if (allowed < todo) {
@@ -670,25 +673,25 @@
     if (gang && allowed < todo && w.starved()) {
       holdBudget(w, todo, allowed, rooms, shard);
     }
-    if (!own.claims.isEmpty()
-        || own.todoCount() > 0
-        || nowMicros < own.restUntilMicros
-        || nowMicros < from.restUntilMicros
+    if (!own.pendingClaims().isEmpty()
+        || own.pendingCount() > 0
+        || nowMicros < own.backoffUntilMicros()
+        || nowMicros < from.backoffUntilMicros()
         || count <= 0
         || (gang && count < todo)) {
       slices.discardIfEmpty(own);
       return 0;
     }
     BitSet tasks = new BitSet();
-    int task = from.nextTodo(0);
+    int task = from.nextPending(0);
     for (int i = 0; i < count && task >= 0; i++) {
       tasks.set(task);
-      task = from.nextTodo(task + 1);
+      task = from.nextPending(task + 1);
     }
     own.assign(tasks);
     place(w.of(own), rooms, shard);
     for (int t = tasks.nextSetBit(0); t >= 0; t = tasks.nextSetBit(t + 1)) {
-      if (!own.out.containsKey(t)) {
+      if (!own.attemptsByTask().containsKey(t)) {
         tasks.clear(t);
         own.unassign(t);
       }
@@ -697,18 +700,19 @@
       slices.discardIfEmpty(own);
       return todo;
     }
-    own.claims.put(from, tasks);
-    recordWriter.changed(own);
+    own.pendingClaims().put(from, tasks);
+    recordWriter.markDirty(own);
     LOG.info("claim {} tasks {} from shard {} for shard {}", spec.id(), tasks, from.shard(), shard);
     return todo - tasks.cardinality();
   }
 
   /** A machine on which a waiting task gets room, at what it costs those that run there. */
-  private record Chance(Room room, Preemption.Plan plan, double cost) {}
+  private record Chance(CandidateMachine room, Preemption.Plan plan, double cost) {}
 
-  private Chance chance(JobSpec spec, Room room, boolean mayStop, Set<Attempt> victims) {
+  private Chance chance(
+      JobSpec spec, CandidateMachine room, boolean mayStop, Set<Attempt> victims) {
     Preemption.Plan plan = Preemption.NOTHING;
-    if (!room.fitsSoon(spec)) {
+    if (!room.fitsAfterTermination(spec)) {
       plan = mayStop ? preemption.plan(room, spec, victims, nowMicros) : null;
     }
     return plan == null ? null : new Chance(room, plan, plan.lossS() + score(spec, room, 0));
@@ -718,28 +722,28 @@
    * For tasks that found no room: holds room that is being freed, and stops others for them where
    * that is allowed.
    */
-  private void await(WaitingSlice w, int count, List<Room> rooms, int shard) {
+  private void await(PendingSlice w, int count, List<CandidateMachine> rooms, int shard) {
     JobSpec spec = w.job().spec();
-    long waited = nowMicros - w.slice().waitingSinceMicros;
+    long waited = nowMicros - w.slice().pendingSinceMicros();
     boolean gang = spec.shape() == JobSpec.Shape.GANG;
     // Others with free room come first; those who would have to stop something for a task that
     // is not theirs wait for its own shard, and for those before them.
-    int place = Math.floorMod(shard - w.slice().shard(), membership.shards());
-    boolean busy = w.foreign() && recordWriter.busy(w.slice());
+    int place = Math.floorMod(shard - w.slice().shard(), membership.shardCount());
+    boolean busy = w.remote() && recordWriter.isInFlight(w.slice());
     boolean mayStop =
         !busy && waited >= policy.micros(Policy.Name.STOP_AFTER) + place * FOREIGN_STEP_MICROS;
     preemption.patience(w.guaranteed() && waited >= policy.micros(Policy.Name.STOP_EQUAL_AFTER));
-    mayStop = mayStop && preemption.anyVictim(spec, workers.of(shard), nowMicros);
+    mayStop = mayStop && preemption.anyVictim(spec, workers.inShard(shard), nowMicros);
     int rest = count;
-    Kind kind = kind(w.slice(), spec);
+    TaskRequirements kind = kind(w.slice(), spec);
     if (!gang && !mayStop && hopeless.contains(kind)) {
       return;
     }
     Map<String, Integer> perZone = zoneCounts(spec);
     Set<Attempt> victims = new LinkedHashSet<>();
     List<Chance> chances = new ArrayList<>();
-    for (Room room : rooms) {
-      if (suits(spec, room, null, perZone) && (mayStop || room.fitsSoon(spec))) {
+    for (CandidateMachine room : rooms) {
+      if (suits(spec, room, null, perZone) && (mayStop || room.fitsAfterTermination(spec))) {
         Chance chance = chance(spec, room, mayStop, victims);
         if (chance != null) {
           chances.add(chance);
@@ -755,8 +759,8 @@
       for (int i = 0; i < chances.size(); i++) {
         Chance c = chances.get(i);
         String zone = c.room().worker.zone();
-        if (spec.zoneOpen(zone, perZone)) {
-          double cost = c.cost() + (spec.scatter() ? perZone.getOrDefault(zone, 0) : 0);
+        if (spec.allowsZone(zone, perZone)) {
+          double cost = c.cost() + (spec.spread() ? perZone.getOrDefault(zone, 0) : 0);
           if (best < 0 || cost < bestCost) {
             best = i;
             bestCost = cost;
@@ -766,12 +770,12 @@
       if (best < 0) {
         break;
       }
-      Room room = chances.get(best).room();
+      CandidateMachine room = chances.get(best).room();
       for (Attempt a : chances.get(best).plan().victims()) {
         victims.add(a);
-        room.stopping(a.slice());
+        room.addTerminating(a.slice());
       }
-      room.take(spec);
+      room.allocate(spec);
       perZone.merge(room.worker.zone(), 1, Integer::sum);
       rest--;
       Chance again = chance(spec, room, mayStop, victims);
@@ -790,7 +794,8 @@
       }
       for (int i = rest; i < count; i++) {
         preemption.started(spec);
-        budgets.reserve(spec.team(), shard, new Budgets.Amount(spec.cpus(), spec.gpus()));
+        budgets.reserve(
+            spec.team(), shard, new QuotaAllocator.ResourceAmount(spec.cpus(), spec.gpus()));
       }
     }
     if (gang && rest > 0) {
@@ -803,24 +808,25 @@
    * the room that it lacks is taken in thought, so that nobody else gets it. One that stays
    * together gets it in the zone where most of it could be.
    */
-  private void hold(JobSpec spec, int count, List<Room> rooms, Map<String, Integer> perZone) {
+  private void hold(
+      JobSpec spec, int count, List<CandidateMachine> rooms, Map<String, Integer> perZone) {
     Map<String, Integer> able = new HashMap<>();
-    for (Room room : rooms) {
+    for (CandidateMachine room : rooms) {
       if (suits(spec, room, null, perZone)) {
         able.merge(room.worker.zone(), room.type.fits(spec), Integer::sum);
       }
     }
     String zone = null;
     for (Map.Entry<String, Integer> e : able.entrySet()) {
-      if (spec.together() && (zone == null || e.getValue() > able.get(zone))) {
+      if (spec.colocated() && (zone == null || e.getValue() > able.get(zone))) {
         zone = e.getKey();
       }
     }
     int rest = count;
-    for (Room room : rooms) {
+    for (CandidateMachine room : rooms) {
       if (rest > 0 && suits(spec, room, zone, perZone)) {
         for (int n = Math.min(rest, room.type.fits(spec)); n > 0; n--) {
-          room.take(spec);
+          room.allocate(spec);
           rest--;
         }
       }
--- a/src/main/java/gladeknot/settings/FeatureReader.java
+++ b/src/main/java/gladeknot/settings/FeatureReader.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.dataformat.toml.TomlFactory;
 import com.fasterxml.jackson.jr.ob.JSON;
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/gladeknot/settings/PartialCuts.java
+++ b/src/main/java/gladeknot/settings/PartialCuts.java
@@ -41,8 +41,8 @@
   /** The file that spans are written to, and its largest size in bytes. */
   public record Tracing(String file, long mostBytes) {}
 
-  private static final double MOST_SECONDS = 3600;
-  private static final double MOST_PENALTY = 1e6;
+  private static final double MAX_SECONDS = 3600;
+  private static final double MAX_PENALTY = 1e6;
   private static final double BYTES_A_MB = 1024.0 * 1024.0;
 
   /** Reads the feature's tables; what is wrong with them goes to the tables' faults. */
@@ -53,8 +53,8 @@
     Handover offers =
         new Handover(
             handover.flag("enabled", true),
-            handover.micros("offer_after_s", 1.0, 0.1, MOST_SECONDS),
-            handover.micros("keep_s", 30.0, 0, MOST_SECONDS));
+            handover.micros("offer_after_s", 1.0, 0.1, MAX_SECONDS),
+            handover.micros("keep_s", 30.0, 0, MAX_SECONDS));
     handover.rejectUnknown();
     Optional<Status> status = Optional.empty();
     if (root.has("status")) {
@@ -68,9 +68,9 @@
   private static Links readLinks(StrictTable table) {
     Links links =
         new Links(
-            table.micros("suspect_after_s", 1.5, 0.1, MOST_SECONDS),
-            table.micros("unreachable_after_s", 4.0, 0.1, MOST_SECONDS),
-            table.micros("probation_s", 5.0, 0, MOST_SECONDS),
+            table.micros("suspect_after_s", 1.5, 0.1, MAX_SECONDS),
+            table.micros("unreachable_after_s", 4.0, 0.1, MAX_SECONDS),
+            table.micros("probation_s", 5.0, 0, MAX_SECONDS),
             table.micros("heartbeat_s", 1.0, 0.1, 60));
     if (links.unreachableAfterMicros() <= links.suspectAfterMicros()) {
       table.fault("unreachable_after_s", "must be above suspect_after_s");
@@ -82,11 +82,11 @@
   private static Damping readDamping(StrictTable table) {
     Damping damping =
         new Damping(
-            table.number("penalty_per_change", 1000, 0, MOST_PENALTY),
-            table.number("suppress_above", 2000, 1, MOST_PENALTY),
-            table.number("reuse_below", 800, 1, MOST_PENALTY),
-            table.micros("half_life_s", 30, 0.1, MOST_SECONDS),
-            table.micros("most_suppressed_s", 60, 0.1, MOST_SECONDS));
+            table.number("penalty_per_change", 1000, 0, MAX_PENALTY),
+            table.number("suppress_above", 2000, 1, MAX_PENALTY),
+            table.number("reuse_below", 800, 1, MAX_PENALTY),
+            table.micros("half_life_s", 30, 0.1, MAX_SECONDS),
+            table.micros("most_suppressed_s", 60, 0.1, MAX_SECONDS));
     if (damping.suppressAbove() <= damping.reuseBelow()) {
       table.fault("suppress_above", "must be above reuse_below");
     }
--- a/src/main/java/gladeknot/settings/Settings.java
+++ b/src/main/java/gladeknot/settings/Settings.java
@@ -10,8 +10,8 @@
     String clientListen,
     String peerListen,
     List<Member> members,
-    String cloud,
-    String state,
+    String cloudAddress,
+    String stateAddress,
     List<String> zones,
     long clockErrorMicros,
     Map<String, Team> teams,
@@ -49,7 +49,7 @@
 
   /** The workers' times. */
   public record Workers(
-      long reportMicros,
+      long heartbeatMicros,
       long leaseMicros,
       long gangWaitMicros,
       long gangPeerMicros,
--- a/src/main/java/gladeknot/settings/SettingsReader.java
+++ b/src/main/java/gladeknot/settings/SettingsReader.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.dataformat.toml.TomlFactory;
 import com.fasterxml.jackson.jr.ob.JSON;
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,13 +17,13 @@
   private static final double BYTES_A_KIB = 1024;
 
   /** So that bytes and counts fit an int. */
-  private static final double MOST_LIMIT = 1_000_000;
+  private static final double MAX_LIMIT = 1_000_000;
 
   /** A smaller value can't hold a job. */
-  private static final double LEAST_VALUE_KIB = 1;
+  private static final double MIN_VALUE_KIB = 1;
 
   /** A shard and its term change hands together. */
-  private static final double LEAST_OPERATIONS = 2;
+  private static final double MIN_OPERATIONS = 2;
 
   private final List<String> faults = new ArrayList<>();
 
@@ -130,8 +130,8 @@
     return new Settings.StateLimits(
         positive(from, at, "rps"),
         positive(from, at, "write_rps"),
-        (int) (atLeast(from, at, "value_kb", LEAST_VALUE_KIB) * BYTES_A_KIB),
-        (int) atLeast(from, at, "txn_ops", LEAST_OPERATIONS));
+        (int) (atLeast(from, at, "value_kb", MIN_VALUE_KIB) * BYTES_A_KIB),
+        (int) atLeast(from, at, "txn_ops", MIN_OPERATIONS));
   }
 
   /** The limits to come; what is not named stays as it is. */
@@ -184,7 +184,7 @@
 
   private double atLeast(Map<String, Object> from, String at, String name, double least) {
     double value = Json.real(from, name, Double.NaN);
-    if (!(value >= least) || value > MOST_LIMIT) {
+    if (!(value >= least) || value > MAX_LIMIT) {
       faults.add(at + name + ": must be a number of " + least + " or more");
       return least;
     }
--- a/src/main/java/gladeknot/settings/StrictTable.java
+++ b/src/main/java/gladeknot/settings/StrictTable.java
@@ -1,6 +1,6 @@
 package gladeknot.settings;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -8,7 +8,7 @@
 
 /** A table of a settings file in which unknown fields, wrong types and ranges are all faults. */
 final class StrictTable {
-  private static final int MOST_PORT = 65535;
+  private static final int MAX_PORT = 65535;
 
   private final Map<String, Object> fields;
   private final String path;
@@ -74,7 +74,7 @@
       return absent;
     }
     String value = Json.text(fields, name);
-    if (value == null || !value.matches("[^:\\s]+:[0-9]{1,5}") || port(value) > MOST_PORT) {
+    if (value == null || !value.matches("[^:\\s]+:[0-9]{1,5}") || port(value) > MAX_PORT) {
       fault(name, "not of the form host:port");
       return absent;
     }
--- a/src/main/java/gladeknot/state/ReadBarriers.java
+++ b/src/main/java/gladeknot/state/ReadBarriers.java
@@ -38,11 +38,11 @@
   private final List<Map.Entry<Long, Runnable>> atEpoch = new ArrayList<>();
   private boolean inFlight;
   private long lastReadMicros = NEVER;
-  private long freshMicros = NEVER;
+  private long currentAsOfMicros = NEVER;
 
   /** When the copy is known to have been current. */
-  long freshMicros() {
-    return freshMicros;
+  long currentAsOfMicros() {
+    return currentAsOfMicros;
   }
 
   /** Adds a barrier at this moment. */
@@ -51,12 +51,12 @@
   }
 
   /** Runs something once the copy has reached an epoch, however long that takes. */
-  void whenAt(long epoch, Runnable then) {
+  void whenRevisionReached(long epoch, Runnable then) {
     atEpoch.add(Map.entry(epoch, then));
   }
 
   /** Runs something once the copy has reached an epoch, or else something other soon. */
-  void whenAt(long epoch, Runnable then, Runnable failed, long nowMicros) {
+  void whenRevisionReached(long epoch, Runnable then, Runnable failed, long nowMicros) {
     // It says nothing of how fresh the copy is: nothing was read for it.
     Barrier barrier = new Barrier(then, failed, nowMicros + WAIT_MICROS);
     barrier.epoch = epoch;
@@ -104,7 +104,7 @@
     List<Barrier> done = reading.stream().filter(b -> b.epoch >= 0 && b.epoch <= epoch).toList();
     reading.removeAll(done);
     for (Barrier b : done) {
-      freshMicros = Math.max(freshMicros, b.sentMicros);
+      currentAsOfMicros = Math.max(currentAsOfMicros, b.sentMicros);
       b.fresh.run();
     }
   }
--- a/src/main/java/gladeknot/state/StateStore.java
+++ b/src/main/java/gladeknot/state/StateStore.java
@@ -1,7 +1,7 @@
 package gladeknot.state;
 
-import gladeknot.http.Json;
-import gladeknot.http.Outbox;
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
 import gladeknot.settings.Settings;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -36,46 +36,46 @@
   private static final double WRITE_SHARE = 2.0;
 
   /** What is used of the service's rates by all together; clocks and bursts take the rest. */
-  private static final double MOST_SHARE = 0.92;
+  private static final double MAX_SHARE = 0.92;
 
   /** A key's value and the stamp of its last change. */
-  public record Entry(Map<String, Object> data, long stamp) {}
+  public record Entry(Map<String, Object> data, long modRevision) {}
 
   /** One change of a transaction; without data it deletes. */
-  public record Write(String key, Map<String, Object> data, long grant) {
-    public static Write put(String key, Map<String, Object> data) {
-      return new Write(key, data, 0);
+  public record Mutation(String key, Map<String, Object> data, long leaseId) {
+    public static Mutation put(String key, Map<String, Object> data) {
+      return new Mutation(key, data, 0);
     }
 
-    public static Write delete(String key) {
-      return new Write(key, null, 0);
+    public static Mutation delete(String key) {
+      return new Mutation(key, null, 0);
     }
   }
 
   /** How a transaction ended. */
-  public enum Result {
-    DONE,
+  public enum CommitStatus {
+    COMMITTED,
     CONFLICT,
     /** Surely not executed: the service is out of order. */
-    REFUSED,
+    UNAVAILABLE,
     /** Surely not executed: all controllers together ask too often. */
     THROTTLED,
     /** Surely not executed: the lease to attach to has ended, or the request was malformed. */
-    BAD,
+    REJECTED,
     /** No answer: it may have been executed, or may still be. */
     UNKNOWN
   }
 
   /** A transaction's end; for a conflict with the keys that had changed. */
-  public record Outcome(Result result, long epoch, List<String> failed) {}
+  public record CommitOutcome(CommitStatus status, long revision, List<String> conflictingKeys) {}
 
   /** A change of one key in the copy; without a new entry the key is gone. */
-  public record Change(String key, Entry before, Entry now) {}
+  public record Change(String key, Entry before, Entry after) {}
 
   /** Hears of every change of the copy. */
   public interface Listener {
     /** The copy holds all of these changes already, which came together. */
-    void changed(List<Change> changes);
+    void onChanges(List<Change> changes);
   }
 
   private final String address;
@@ -89,7 +89,7 @@
   private final TokenBucket writes;
   private final TreeMap<String, Entry> view = new TreeMap<>();
   private final Map<String, Long> deletedAt = new HashMap<>();
-  private long epoch;
+  private long revision;
   private boolean loaded;
   private boolean loading;
   private boolean following;
@@ -102,16 +102,16 @@
 
   /** A client that has read nothing yet. */
   public StateStore(Settings settings, Outbox outbox, RandomGenerator random, Listener listener) {
-    this.address = settings.state();
+    this.address = settings.stateAddress();
     this.outbox = outbox;
     this.random = random;
     this.listener = listener;
-    double part = MOST_SHARE / settings.nodes().size();
+    double part = MAX_SHARE / settings.nodes().size();
     double rps = settings.stateLimits().rps() * part;
     // Writes come in bursts at one controller or the other: each may use more than an even part,
     // and gives way when the service says that all together were too many.
     limits = new TransactionLimits(settings);
-    writeShare = Math.min(MOST_SHARE, part * WRITE_SHARE);
+    writeShare = Math.min(MAX_SHARE, part * WRITE_SHARE);
     writesPerSecond = limits.writesPerSecond();
     double writeRps = writesPerSecond * writeShare;
     this.requests = new TokenBucket(rps, rps);
@@ -127,13 +127,13 @@
     return loaded;
   }
 
-  public long epoch() {
-    return epoch;
+  public long revision() {
+    return revision;
   }
 
   /** When the copy is known to have been current. */
-  public long freshMicros() {
-    return barriers.freshMicros();
+  public long currentAsOfMicros() {
+    return barriers.currentAsOfMicros();
   }
 
   public Entry get(String key) {
@@ -141,26 +141,26 @@
   }
 
   /** The stamp of a key in the copy; 0 if there is no such key. */
-  public long stamp(String key) {
+  public long modRevision(String key) {
     Entry entry = view.get(key);
-    return entry == null ? 0 : entry.stamp();
+    return entry == null ? 0 : entry.modRevision();
   }
 
-  public SortedMap<String, Entry> under(String prefix) {
+  public SortedMap<String, Entry> withPrefix(String prefix) {
     return view.subMap(prefix, prefix + Character.MAX_VALUE);
   }
 
   /** Write tokens for a transaction of the given size, leaving some to more urgent ones. */
-  public boolean takeWrites(int count, double keepShare) {
+  public boolean tryAcquireWrites(int count, double keepShare) {
     double keep = keepShare * writes.burst();
-    return requests.take(1, 2, nowMicros) && writes.take(count, keep, nowMicros);
+    return requests.tryAcquire(1, 2, nowMicros) && writes.tryAcquire(count, keep, nowMicros);
   }
 
   /** How many writes there are tokens for, leaving some to more urgent ones. */
-  public int writesLeft(double keepShare) {
-    int left = (int) writes.left(keepShare * writes.burst(), nowMicros);
+  public int availableWrites(double keepShare) {
+    int left = (int) writes.available(keepShare * writes.burst(), nowMicros);
     // However small the bucket is, a claim's two writes must be able to go some time.
-    boolean full = writes.left(0, nowMicros) >= writes.burst();
+    boolean full = writes.available(0, nowMicros) >= writes.burst();
     return full ? Math.max(2, left) : left;
   }
 
@@ -169,7 +169,7 @@
     nowMicros = now;
     if (writesPerSecond != limits.writesPerSecond()) {
       writesPerSecond = limits.writesPerSecond();
-      writes.rate(writesPerSecond * writeShare, now);
+      writes.setRate(writesPerSecond * writeShare, now);
     }
     if (!loaded && !loading && now >= retryMicros) {
       loading = true;
@@ -180,7 +180,7 @@
     if (loaded && !following && now >= Math.max(retryMicros, nextFollowMicros)) {
       follow();
     }
-    if (loaded && barriers.wantRead(now) && requests.take(1, 1, now)) {
+    if (loaded && barriers.wantRead(now) && requests.tryAcquire(1, 1, now)) {
       readForBarriers();
     }
     barriers.expire(now);
@@ -200,19 +200,19 @@
             requests.drain(nowMicros);
             writes.drain(nowMicros);
           }
-          handler.on(reply);
+          handler.onReply(reply);
         });
   }
 
   /** A call that goes even when its tokens are used up. */
-  public void urgent(
+  public void callUnthrottled(
       String method, String path, Object body, long timeoutMicros, Outbox.ReplyHandler handler) {
-    requests.force(1, nowMicros);
+    requests.forceAcquire(1, nowMicros);
     call(method, path, body, timeoutMicros, handler);
   }
 
   private void load(String from) {
-    requests.force(1, nowMicros);
+    requests.forceAcquire(1, nowMicros);
     String after = from.isEmpty() ? "" : "&from=" + from;
     call(
         "GET",
@@ -246,24 +246,24 @@
     loading = false;
     loaded = true;
     List<String> gone = view.keySet().stream().filter(k -> !page.containsKey(k)).toList();
-    epoch = Math.max(epoch, pageEpoch);
+    revision = Math.max(revision, pageEpoch);
     TreeMap<String, Entry> read = page;
     page = null;
     List<Change> changes = new ArrayList<>();
     for (String key : gone) {
-      if (view.get(key).stamp() <= pageEpoch) {
+      if (view.get(key).modRevision() <= pageEpoch) {
         set(key, null, changes);
       }
     }
     read.forEach(
         (key, entry) -> {
-          if (entry.stamp() > stamp(key)) {
+          if (entry.modRevision() > modRevision(key)) {
             set(key, entry, changes);
           }
         });
-    listener.changed(changes);
-    LOG.info("state read at epoch {}: {} keys", epoch, view.size());
-    barriers.reached(epoch);
+    listener.onChanges(changes);
+    LOG.info("state read at epoch {}: {} keys", revision, view.size());
+    barriers.reached(revision);
   }
 
   private void backOff() {
@@ -272,10 +272,10 @@
 
   private void follow() {
     following = true;
-    requests.force(1, nowMicros);
+    requests.forceAcquire(1, nowMicros);
     call(
         "GET",
-        "/follow?starts=" + ROOT + "&from=" + epoch + "&waitMs=" + FOLLOW_MS,
+        "/follow?starts=" + ROOT + "&from=" + revision + "&waitMs=" + FOLLOW_MS,
         null,
         FOLLOW_MS * 1000L + 4_000_000,
         reply -> {
@@ -293,13 +293,13 @@
           for (Map<String, Object> event : Json.objects(body, "events")) {
             apply(event, changes);
           }
-          listener.changed(changes);
-          epoch = Math.max(epoch, Json.num(body, "epoch", epoch));
-          deletedAt.values().removeIf(at -> at <= epoch);
+          listener.onChanges(changes);
+          revision = Math.max(revision, Json.num(body, "epoch", revision));
+          deletedAt.values().removeIf(at -> at <= revision);
           // Every change of every controller ends a watch: asked again at once, watches alone would
           // use up the calls that commits need.
           nextFollowMicros = nowMicros + FOLLOW_GAP_MICROS;
-          barriers.reached(epoch);
+          barriers.reached(revision);
         });
   }
 
@@ -307,7 +307,7 @@
     long stamp = Json.num(event, "stamp", 0);
     String written = Json.text(event, "write");
     String key = written != null ? written : Json.text(event, "delete");
-    if (key == null || stamp <= stamp(key) || stamp <= deletedAt.getOrDefault(key, 0L)) {
+    if (key == null || stamp <= modRevision(key) || stamp <= deletedAt.getOrDefault(key, 0L)) {
       return;
     }
     set(key, written == null ? null : new Entry(Json.map(event.get("data")), stamp), changes);
@@ -321,20 +321,20 @@
   }
 
   /** Runs something once the copy has reached an epoch. */
-  public void whenAt(long wanted, Runnable then) {
-    if (loaded && epoch >= wanted) {
+  public void whenRevisionReached(long wanted, Runnable then) {
+    if (loaded && revision >= wanted) {
       then.run();
     } else {
-      barriers.whenAt(wanted, then);
+      barriers.whenRevisionReached(wanted, then);
     }
   }
 
   /** The same, but that it is given up when the copy does not get there soon. */
-  public void whenAt(long wanted, Runnable then, Runnable failed) {
-    if (loaded && epoch >= wanted) {
+  public void whenRevisionReached(long wanted, Runnable then, Runnable failed) {
+    if (loaded && revision >= wanted) {
       then.run();
     } else {
-      barriers.whenAt(wanted, then, failed, nowMicros);
+      barriers.whenRevisionReached(wanted, then, failed, nowMicros);
     }
   }
 
@@ -342,7 +342,7 @@
    * Runs one of two things: {@code fresh} once the copy is as new as this moment, {@code failed}
    * when that can't be learnt soon. Many barriers share one read.
    */
-  public void barrier(Runnable fresh, Runnable failed) {
+  public void readBarrier(Runnable fresh, Runnable failed) {
     barriers.ask(fresh, failed, nowMicros);
   }
 
@@ -355,12 +355,13 @@
         ReadBarriers.WAIT_MICROS,
         reply -> {
           long at = reply.status() == 404 ? Json.num(reply.object(), "epoch", -1) : -1;
-          barriers.read(batch, at, epoch);
+          barriers.read(batch, at, revision);
         });
   }
 
-  /** Sends a transaction. Tokens are the caller's affair, see {@link #takeWrites}. */
-  public void commit(Map<String, Long> conditions, List<Write> changes, Consumer<Outcome> then) {
+  /** Sends a transaction. Tokens are the caller's affair, see {@link #tryAcquireWrites}. */
+  public void commit(
+      Map<String, Long> conditions, List<Mutation> changes, Consumer<CommitOutcome> then) {
     call(
         "POST",
         COMMIT,
@@ -370,23 +371,23 @@
   }
 
   /** Brings what a transaction has done into the copy. */
-  private Outcome takeIn(Outcome outcome, List<Write> changes, Outbox.Reply reply) {
-    if (outcome.result() == Result.DONE) {
+  private CommitOutcome takeIn(CommitOutcome outcome, List<Mutation> changes, Outbox.Reply reply) {
+    if (outcome.status() == CommitStatus.COMMITTED) {
       List<Change> applied = new ArrayList<>();
-      changes.forEach(write -> apply(write, outcome.epoch(), applied));
-      listener.changed(applied);
-    } else if (outcome.result() == Result.BAD) {
+      changes.forEach(write -> apply(write, outcome.revision(), applied));
+      listener.onChanges(applied);
+    } else if (outcome.status() == CommitStatus.REJECTED) {
       Object error = reply.object().get("error");
       LOG.error("transaction refused as malformed: {}: {}", error, TransactionCodec.sizes(changes));
       if (!NO_SUCH_LEASE.equals(error)) {
-        limits.refusedForSize();
+        limits.onSizeRejection();
       }
     }
     return outcome;
   }
 
-  private void apply(Write write, long at, List<Change> applied) {
-    if (at <= stamp(write.key()) || at <= deletedAt.getOrDefault(write.key(), 0L)) {
+  private void apply(Mutation write, long at, List<Change> applied) {
+    if (at <= modRevision(write.key()) || at <= deletedAt.getOrDefault(write.key(), 0L)) {
       return;
     }
     if (write.data() == null) {
--- a/src/main/java/gladeknot/state/TokenBucket.java
+++ b/src/main/java/gladeknot/state/TokenBucket.java
@@ -15,7 +15,7 @@
   }
 
   /** Changes the rate, and with it the burst of one second's worth. */
-  void rate(double perSecond, long nowMicros) {
+  void setRate(double perSecond, long nowMicros) {
     refill(nowMicros);
     ratePerMicro = perSecond / 1e6;
     burst = perSecond;
@@ -34,13 +34,13 @@
   }
 
   /** How many tokens may be taken now if {@code keep} are to stay. */
-  public double left(double keep, long nowMicros) {
+  public double available(double keep, long nowMicros) {
     refill(nowMicros);
     return Math.max(0, level - keep);
   }
 
   /** Takes tokens if so many are there and {@code keep} stay for what matters more. */
-  public boolean take(double count, double keep, long nowMicros) {
+  public boolean tryAcquire(double count, double keep, long nowMicros) {
     refill(nowMicros);
     // What is larger than the bucket may go once the bucket is full.
     if (level < Math.min(burst, count + keep)) {
@@ -51,7 +51,7 @@
   }
 
   /** Takes tokens in any case; for what must not wait, such as lease renewals. */
-  public void force(double count, long nowMicros) {
+  public void forceAcquire(double count, long nowMicros) {
     refill(nowMicros);
     level = Math.max(-burst, level - count);
   }
--- a/src/main/java/gladeknot/state/TransactionCodec.java
+++ b/src/main/java/gladeknot/state/TransactionCodec.java
@@ -1,10 +1,10 @@
 package gladeknot.state;
 
-import gladeknot.http.Json;
-import gladeknot.http.Outbox;
-import gladeknot.state.StateStore.Outcome;
-import gladeknot.state.StateStore.Result;
-import gladeknot.state.StateStore.Write;
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
+import gladeknot.state.StateStore.CommitOutcome;
+import gladeknot.state.StateStore.CommitStatus;
+import gladeknot.state.StateStore.Mutation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -21,7 +21,7 @@
   private TransactionCodec() {}
 
   /** The body of a request. */
-  static Map<String, Object> body(Map<String, Long> conditions, List<Write> changes) {
+  static Map<String, Object> body(Map<String, Long> conditions, List<Mutation> changes) {
     List<Object> ifs = new ArrayList<>();
     conditions.forEach((key, stamp) -> ifs.add(Json.of("path", key, "stamp", stamp)));
     List<Object> writes = new ArrayList<>();
@@ -29,33 +29,34 @@
     return Json.of("if", ifs, "writes", writes);
   }
 
-  private static Map<String, Object> operation(Write write) {
+  private static Map<String, Object> operation(Mutation write) {
     if (write.data() == null) {
       return Json.of("delete", write.key());
     }
     Map<String, Object> put = Json.of("write", write.key(), "data", write.data());
-    if (write.grant() != 0) {
-      put.put("grant", write.grant());
+    if (write.leaseId() != 0) {
+      put.put("grant", write.leaseId());
     }
     return put;
   }
 
   /** How a transaction ended, by the reply to it. */
-  static Outcome outcome(Outbox.Reply reply) {
+  static CommitOutcome outcome(Outbox.Reply reply) {
     Map<String, Object> body = reply.object();
     long at = Json.num(body, "epoch", NO_EPOCH);
     return switch (reply.status()) {
-      case OK -> new Outcome(Result.DONE, at, List.of());
-      case FAILED_CONDITION -> new Outcome(Result.CONFLICT, at, Json.texts(body, "failed"));
-      case TOO_MANY -> new Outcome(Result.THROTTLED, NO_EPOCH, List.of());
-      case OUT_OF_ORDER -> new Outcome(Result.REFUSED, NO_EPOCH, List.of());
-      case MALFORMED -> new Outcome(Result.BAD, NO_EPOCH, List.of());
-      default -> new Outcome(Result.UNKNOWN, NO_EPOCH, List.of());
+      case OK -> new CommitOutcome(CommitStatus.COMMITTED, at, List.of());
+      case FAILED_CONDITION ->
+          new CommitOutcome(CommitStatus.CONFLICT, at, Json.texts(body, "failed"));
+      case TOO_MANY -> new CommitOutcome(CommitStatus.THROTTLED, NO_EPOCH, List.of());
+      case OUT_OF_ORDER -> new CommitOutcome(CommitStatus.UNAVAILABLE, NO_EPOCH, List.of());
+      case MALFORMED -> new CommitOutcome(CommitStatus.REJECTED, NO_EPOCH, List.of());
+      default -> new CommitOutcome(CommitStatus.UNKNOWN, NO_EPOCH, List.of());
     };
   }
 
   /** The keys of a transaction with the bytes that are written to each. */
-  static List<String> sizes(List<Write> changes) {
+  static List<String> sizes(List<Mutation> changes) {
     return changes.stream()
         .map(w -> w.key() + " " + (w.data() == null ? 0 : Json.bytes(w.data()).length))
         .toList();
--- a/src/main/java/gladeknot/state/TransactionLimits.java
+++ b/src/main/java/gladeknot/state/TransactionLimits.java
@@ -14,10 +14,10 @@
   private static final int CONDITIONS_A_CHANGE = 4;
 
   /** Of the protocol's 64 KiB a transaction, some are left to conditions and JSON. */
-  private static final int MOST_BYTES = 40_000;
+  private static final int MAX_BYTES = 40_000;
 
   /** A claim changes two keys, so that fewer make no sense. */
-  private static final int LEAST_OPERATIONS = 2;
+  private static final int MIN_OPERATIONS = 2;
 
   private final Settings.StateLimits present;
   private final Settings.StateLimits smaller;
@@ -30,12 +30,12 @@
   }
 
   /** All members run this version: whatever is written from now on must fit the limits to come. */
-  public void allMembersCurrent() {
+  public void onAllMembersUpgraded() {
     lowered = true;
   }
 
   /** The service has called something too large. */
-  public void refusedForSize() {
+  public void onSizeRejection() {
     lowered = true;
   }
 
@@ -44,23 +44,23 @@
   }
 
   /** The largest value, in bytes. */
-  public int valueBytes() {
+  public int maxValueBytes() {
     return inForce().valueBytes();
   }
 
   /** The most puts and deletes in one transaction. */
-  public int operations() {
-    return Math.max(LEAST_OPERATIONS, inForce().txnOps());
+  public int maxOperations() {
+    return Math.max(MIN_OPERATIONS, inForce().txnOps());
   }
 
   /** The most conditions in one transaction of that many operations at most. */
-  public int conditions(int operations) {
+  public int maxConditions(int operations) {
     return CONDITIONS_A_CHANGE * operations;
   }
 
   /** The bytes of values that one transaction may hold. */
-  public int transactionBytes() {
-    return MOST_BYTES;
+  public int maxTransactionBytes() {
+    return MAX_BYTES;
   }
 
   /** Puts and deletes a second. */
@@ -69,7 +69,7 @@
   }
 
   /** How many times as many keys hold the same under the limits to come. */
-  public int wantedPartSplit() {
+  public int targetSegmentSplit() {
     return (present.valueBytes() + smaller.valueBytes() - 1) / smaller.valueBytes();
   }
 }
--- a/src/main/java/gladeknot/placement/AttemptsCodec.java
+++ b/src/main/java/gladeknot/tasks/AttemptCodec.java
@@ -1,4 +1,4 @@
-package gladeknot.placement;
+package gladeknot.tasks;
 
 import com.google.common.base.Strings;
 import java.io.ByteArrayInputStream;
@@ -15,22 +15,22 @@
  * many digits follow, and in Base64 for each attempt the differences of task, number and host from
  * the attempt before it, as numbers of variable length.
  */
-final class AttemptsCodec {
+final class AttemptCodec {
   /** One attempt as it is stored. */
-  record Stored(int task, long number, String host) {}
+  record StoredAttempt(int task, long number, String host) {}
 
   private static final char COMPACT = '~';
   private static final int BITS = 7;
   private static final int MASK = (1 << BITS) - 1;
 
   /** So many digits always fit a long. */
-  private static final int MOST_DIGITS = 18;
+  private static final int MAX_DIGITS = 18;
 
-  private AttemptsCodec() {}
+  private AttemptCodec() {}
 
-  static String plain(List<Stored> attempts) {
+  static String plain(List<StoredAttempt> attempts) {
     StringBuilder text = new StringBuilder();
-    for (Stored a : attempts) {
+    for (StoredAttempt a : attempts) {
       text.append(text.length() == 0 ? "" : ",").append(a.task()).append(':').append(a.number());
       text.append(':').append(a.host());
     }
@@ -38,7 +38,7 @@
   }
 
   /** The compact form, or the plain one where that is shorter or the hosts' names are unlike. */
-  static String compact(List<Stored> attempts) {
+  static String compact(List<StoredAttempt> attempts) {
     String plain = plain(attempts);
     if (attempts.isEmpty()) {
       return plain;
@@ -51,7 +51,7 @@
             && prefix.indexOf(':') < 0
             && prefix.indexOf('|') < 0
             && attempts.stream()
-                .map(Stored::host)
+                .map(StoredAttempt::host)
                 .allMatch(
                     host ->
                         host.length() == first.length()
@@ -64,12 +64,12 @@
     return compact.length() < plain.length() ? compact : plain;
   }
 
-  private static String data(List<Stored> attempts, int prefixLength) {
+  private static String data(List<StoredAttempt> attempts, int prefixLength) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     long task = 0;
     long number = 0;
     long host = 0;
-    for (Stored a : attempts) {
+    for (StoredAttempt a : attempts) {
       long hostNumber = Long.parseLong(a.host().substring(prefixLength));
       put(out, a.task() - task);
       put(out, a.number() - number);
@@ -81,27 +81,28 @@
     return Base64.getEncoder().withoutPadding().encodeToString(out.toByteArray());
   }
 
-  static List<Stored> read(String text) {
+  static List<StoredAttempt> read(String text) {
     if (text.isEmpty()) {
       return List.of();
     }
     return text.charAt(0) == COMPACT ? readCompact(text) : readPlain(text);
   }
 
-  private static List<Stored> readPlain(String text) {
-    List<Stored> attempts = new ArrayList<>();
+  private static List<StoredAttempt> readPlain(String text) {
+    List<StoredAttempt> attempts = new ArrayList<>();
     for (String part : text.split(",")) {
       String[] fields = part.split(":", 3);
-      attempts.add(new Stored(Integer.parseInt(fields[0]), Long.parseLong(fields[1]), fields[2]));
+      attempts.add(
+          new StoredAttempt(Integer.parseInt(fields[0]), Long.parseLong(fields[1]), fields[2]));
     }
     return attempts;
   }
 
-  private static List<Stored> readCompact(String text) {
+  private static List<StoredAttempt> readCompact(String text) {
     String[] fields = text.substring(1).split(":", 3);
     int digits = Integer.parseInt(fields[1]);
     ByteArrayInputStream in = new ByteArrayInputStream(Base64.getDecoder().decode(fields[2]));
-    List<Stored> attempts = new ArrayList<>();
+    List<StoredAttempt> attempts = new ArrayList<>();
     long task = 0;
     long number = 0;
     long host = 0;
@@ -110,7 +111,7 @@
       number += take(in);
       host += take(in);
       String name = fields[0] + Strings.padStart(Long.toString(host), digits, '0');
-      attempts.add(new Stored((int) task, number, name));
+      attempts.add(new StoredAttempt((int) task, number, name));
     }
     return attempts;
   }
@@ -118,7 +119,7 @@
   /** How many digits a name ends with. */
   private static int digits(String name) {
     int count = 0;
-    while (count < Math.min(MOST_DIGITS, name.length())
+    while (count < Math.min(MAX_DIGITS, name.length())
         && isDigit(name.charAt(name.length() - 1 - count))) {
       count++;
     }
--- a/src/main/java/gladeknot/placement/Estimates.java
+++ b/src/main/java/gladeknot/tasks/RuntimeEstimates.java
@@ -1,4 +1,4 @@
-package gladeknot.placement;
+package gladeknot.tasks;
 
 import gladeknot.jobs.JobSpec;
 import java.util.HashMap;
@@ -7,10 +7,10 @@
 import org.HdrHistogram.Histogram;
 
 /** How long tasks run: the owner's guess, corrected by what the class's finished tasks took. */
-public final class Estimates {
+public final class RuntimeEstimates {
   private static final int PERCENT = 100;
   private static final int MOST = 100_000;
-  private static final int MOST_JOBS = 500;
+  private static final int MAX_JOBS = 500;
 
   /** So many finished tasks weigh as much as the guess as it stands. */
   private static final int TRUST = 10;
@@ -25,7 +25,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, long[]> eldest) {
-          return size() > MOST_JOBS;
+          return size() > MAX_JOBS;
         }
       };
 
@@ -51,11 +51,11 @@
   private final Map<String, Ratio> ratios = new HashMap<>();
 
   /** Notes how long a task ran. */
-  void finished(JobSpec spec, long ranMicros) {
-    if (spec.guessMicros() <= 0 || ranMicros <= 0) {
+  public void recordRun(JobSpec spec, long ranMicros) {
+    if (spec.estimatedRunMicros() <= 0 || ranMicros <= 0) {
       return;
     }
-    long percent = Math.max(1, Math.min(MOST, ranMicros * PERCENT / spec.guessMicros()));
+    long percent = Math.max(1, Math.min(MOST, ranMicros * PERCENT / spec.estimatedRunMicros()));
     long[] sum = jobs.computeIfAbsent(spec.id(), id -> new long[2]);
     sum[0] += ranMicros;
     sum[1]++;
@@ -75,6 +75,8 @@
       return own[0] / own[1];
     }
     Ratio ratio = ratios.get(spec.jobClass());
-    return ratio == null ? spec.guessMicros() : (long) (spec.guessMicros() * ratio.value());
+    return ratio == null
+        ? spec.estimatedRunMicros()
+        : (long) (spec.estimatedRunMicros() * ratio.value());
   }
 }
--- a/src/main/java/gladeknot/placement/RecordLayout.java
+++ b/src/main/java/gladeknot/tasks/SegmentLayout.java
@@ -1,5 +1,6 @@
-package gladeknot.placement;
+package gladeknot.tasks;
 
+import gladeknot.state.StateStore;
 import java.util.function.IntSupplier;
 
 /**
@@ -14,40 +15,54 @@
  * of parts is written into the names of split ones, so that every key tells how it is read; a
  * slice's part by a larger number of parts is always a piece of its part by a smaller one.
  */
-final class RecordLayout {
+public final class SegmentLayout {
+  /** Begins the keys of all segments. */
+  public static final String KEY_PREFIX = StateStore.ROOT + "sl/";
+
   private static final int ARRAY_PARTS = 4;
   private static final int WHOLE_PARTS = 2;
   private static final char ARRAY = 'a';
   private static final char WHOLE = 'w';
 
-  private final IntSupplier partSplit;
+  private final IntSupplier segmentSplit;
 
   /** A layout that asks each time into how many pieces a part of the first version is split. */
-  RecordLayout(IntSupplier partSplit) {
-    this.partSplit = partSplit;
+  SegmentLayout(IntSupplier partSplit) {
+    this.segmentSplit = partSplit;
+  }
+
+  /** Begins the keys of a shard's segments. */
+  public static String keyPrefix(int shard) {
+    return KEY_PREFIX + shard + "/";
+  }
+
+  /** The shard whose records a segment holds. */
+  static int shardOf(String key) {
+    return Integer.parseInt(
+        key.substring(KEY_PREFIX.length(), key.indexOf('/', KEY_PREFIX.length())));
   }
 
   /** The key of the part that a slice's record belongs into by the cluster's format. */
   String key(int shard, boolean whole, String job) {
-    int split = partSplit.getAsInt();
+    int split = segmentSplit.getAsInt();
     int parts = (whole ? WHOLE_PARTS : ARRAY_PARTS) * split;
     int part = Math.floorMod(job.hashCode(), parts);
     String name = split == 1 ? String.valueOf(part) : parts + "-" + part;
-    return Slice.prefix(shard) + (whole ? WHOLE : ARRAY) + name;
+    return keyPrefix(shard) + (whole ? WHOLE : ARRAY) + name;
   }
 
   /** Whether a part holds gangs and services. */
   static boolean isWhole(String key) {
-    return key.charAt(Slice.prefix(Slice.shardOf(key)).length()) == WHOLE;
+    return key.charAt(keyPrefix(shardOf(key)).length()) == WHOLE;
   }
 
   /** Into how many pieces a part of the first version is split. */
-  int partSplit() {
-    return partSplit.getAsInt();
+  int segmentSplit() {
+    return segmentSplit.getAsInt();
   }
 
   /** Whether records may be written in the compact form, which the first version can't read. */
   boolean compact() {
-    return partSplit.getAsInt() > 1;
+    return segmentSplit.getAsInt() > 1;
   }
 }
--- a/src/main/java/gladeknot/placement/Ranges.java
+++ b/src/main/java/gladeknot/tasks/TaskRanges.java
@@ -1,10 +1,10 @@
-package gladeknot.placement;
+package gladeknot.tasks;
 
 import java.util.BitSet;
 
 /** Sets of task numbers as text such as "0-4,7". */
-final class Ranges {
-  private Ranges() {}
+final class TaskRanges {
+  private TaskRanges() {}
 
   static String text(BitSet set) {
     StringBuilder out = new StringBuilder();
--- a/src/main/java/gladeknot/tracing/FileTracing.java
+++ b/src/main/java/gladeknot/tracing/FileTracing.java
@@ -9,7 +9,7 @@
 
 /** Sets tracing to a file up: spans are handed to a thread of the SDK, which writes them. */
 public final class FileTracing {
-  private static final int MOST_OPEN = 20_000;
+  private static final int MAX_OPEN = 20_000;
   private static final int QUEUE = 4096;
   private static final Duration WRITE_EVERY = Duration.ofSeconds(1);
   private static final String SCOPE = "gladeknot";
@@ -29,6 +29,6 @@
                     .build())
             .build();
     Runtime.getRuntime().addShutdownHook(new Thread(provider::close, "span-writer-end"));
-    return new OpenTelemetryTaskTracer(provider.get(SCOPE), MOST_OPEN);
+    return new OpenTelemetryTaskTracer(provider.get(SCOPE), MAX_OPEN);
   }
 }
--- a/src/main/java/gladeknot/tracing/OpenTelemetryTaskTracer.java
+++ b/src/main/java/gladeknot/tracing/OpenTelemetryTaskTracer.java
@@ -132,12 +132,12 @@
   }
 
   @Override
-  public void ordered(AttemptId attempt) {
+  public void runSent(AttemptId attempt) {
     event(attempt, "ordered");
   }
 
   @Override
-  public void reported(AttemptId attempt, String state) {
+  public void phaseObserved(AttemptId attempt, String state) {
     event(attempt, "reported " + state);
   }
 
@@ -155,7 +155,7 @@
   }
 
   @Override
-  public void lost(int shard) {
+  public void shardReleased(int shard) {
     endAll(open -> open.shard() == shard, "the shard is no longer ours");
   }
 
--- a/src/main/java/gladeknot/tracing/SpanFileExporter.java
+++ b/src/main/java/gladeknot/tracing/SpanFileExporter.java
@@ -1,6 +1,6 @@
 package gladeknot.tracing;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import io.opentelemetry.api.common.AttributeKey;
 import io.opentelemetry.api.trace.SpanId;
 import io.opentelemetry.sdk.common.CompletableResultCode;
--- a/src/main/java/gladeknot/tracing/TaskTracer.java
+++ b/src/main/java/gladeknot/tracing/TaskTracer.java
@@ -27,10 +27,10 @@
   default void committed(AttemptId attempt, String host, int shard, long term) {}
 
   /** An answer to a report carries an attempt's run. */
-  default void ordered(AttemptId attempt) {}
+  default void runSent(AttemptId attempt) {}
 
   /** A report shows an attempt in a state other than before. */
-  default void reported(AttemptId attempt, String state) {}
+  default void phaseObserved(AttemptId attempt, String state) {}
 
   /** An attempt is wanted to end. */
   default void killed(AttemptId attempt) {}
@@ -39,5 +39,5 @@
   default void ended(AttemptId attempt, String cause) {}
 
   /** A shard has ceased to be ours, and with it its attempts. */
-  default void lost(int shard) {}
+  default void shardReleased(int shard) {}
 }
--- a/src/main/java/gladeknot/workers/Report.java
+++ b/src/main/java/gladeknot/workers/Heartbeat.java
@@ -1,25 +1,25 @@
 package gladeknot.workers;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
 /** What a worker says of itself; {@code recallS} is below 0 where the machine stays. */
-public record Report(
+public record Heartbeat(
     String host,
     String endpoint,
     String type,
     String zone,
     boolean spot,
-    long tenure,
-    long tick,
-    long token,
-    double recallS,
-    List<Task> tasks) {
+    long incarnation,
+    long sequence,
+    long fencingToken,
+    double reclaimInSeconds,
+    List<TaskStatus> tasks) {
 
   /** A task on the machine. */
-  public record Task(String name, long number, String phase, String cause, boolean stored) {
+  public record TaskStatus(String name, long attempt, String phase, String cause, boolean stored) {
     /** The job that it is of. */
     public String job() {
       return name.substring(0, name.lastIndexOf('/'));
@@ -31,40 +31,40 @@
   }
 
   /** A report that breaks the form. */
-  public static final class MalformedJobException extends Exception {
+  public static final class MalformedHeartbeatException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    MalformedJobException(String message) {
+    MalformedHeartbeatException(String message) {
       super(message);
     }
   }
 
   /** Whether it is newer than the one of that session and tick. */
-  public boolean after(long otherTenure, long otherTick) {
-    return tenure > otherTenure || (tenure == otherTenure && tick > otherTick);
+  public boolean isNewerThan(long otherTenure, long otherTick) {
+    return incarnation > otherTenure || (incarnation == otherTenure && sequence > otherTick);
   }
 
   /** Reads a report. */
-  public static Report parse(Map<String, Object> m) throws MalformedJobException {
-    List<Task> tasks = new ArrayList<>();
+  public static Heartbeat parse(Map<String, Object> m) throws MalformedHeartbeatException {
+    List<TaskStatus> tasks = new ArrayList<>();
     if (m.get("strands") != null && !(m.get("strands") instanceof List)) {
-      throw new MalformedJobException("strands: must be a list");
+      throw new MalformedHeartbeatException("strands: must be a list");
     }
     for (Map<String, Object> t : Json.objects(m, "strands")) {
       String name = text(t, "strand");
       int slash = name.lastIndexOf('/');
       if (slash < 1 || !name.substring(slash + 1).matches("[0-9]{1,6}")) {
-        throw new MalformedJobException("strand: must be job/number");
+        throw new MalformedHeartbeatException("strand: must be job/number");
       }
       tasks.add(
-          new Task(
+          new TaskStatus(
               name,
               whole(t, "try"),
               text(t, "phase"),
               Json.text(t, "cause") == null ? "" : Json.text(t, "cause"),
               Json.flag(t, "stored")));
     }
-    return new Report(
+    return new Heartbeat(
         text(m, "host"),
         text(m, "endpoint"),
         text(m, "hosttype"),
@@ -77,17 +77,18 @@
         tasks);
   }
 
-  private static String text(Map<String, Object> m, String name) throws MalformedJobException {
+  private static String text(Map<String, Object> m, String name)
+      throws MalformedHeartbeatException {
     String value = Json.text(m, name);
     if (value == null || value.isEmpty()) {
-      throw new MalformedJobException(name + ": missing, or not a text");
+      throw new MalformedHeartbeatException(name + ": missing, or not a text");
     }
     return value;
   }
 
-  private static long whole(Map<String, Object> m, String name) throws MalformedJobException {
+  private static long whole(Map<String, Object> m, String name) throws MalformedHeartbeatException {
     if (!(m.get(name) instanceof Number n) || n instanceof Double || n.longValue() < 0) {
-      throw new MalformedJobException(name + ": must be a whole number");
+      throw new MalformedHeartbeatException(name + ": must be a whole number");
     }
     return n.longValue();
   }
--- a/src/main/java/gladeknot/fleet/MachineType.java
+++ b/src/main/java/gladeknot/workers/MachineType.java
@@ -1,7 +1,7 @@
-package gladeknot.fleet;
+package gladeknot.workers;
 
-import gladeknot.http.Json;
 import gladeknot.jobs.JobSpec;
+import gladeknot.json.Json;
 import java.util.List;
 import java.util.Map;
 
@@ -18,7 +18,8 @@
     long readyMicros,
     List<String> zones) {
 
-  static MachineType read(Map<String, Object> m) {
+  /** Reads a type as the cloud lists it. */
+  public static MachineType read(Map<String, Object> m) {
     return new MachineType(
         Json.text(m, "label"),
         Math.round(Json.real(m, "cores", 0) * 1000),
--- a/src/main/java/gladeknot/workers/Worker.java
+++ b/src/main/java/gladeknot/workers/Worker.java
@@ -1,13 +1,13 @@
 package gladeknot.workers;
 
-import gladeknot.placement.Attempt;
 import gladeknot.state.StateStore;
+import gladeknot.tasks.Attempt;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** A rented machine: its key, and for those of our shards its newest report. */
 public final class Worker {
-  public static final String KEYS = StateStore.ROOT + "w/";
+  public static final String KEY_PREFIX = StateStore.ROOT + "w/";
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -19,51 +19,42 @@
   private String type = "";
   private String zone = "";
   private boolean spot;
-  private long rentedWallMicros;
-  private boolean leaving;
-  private boolean entered;
+  private long launchedWallMicros;
+  private boolean terminating;
+  private boolean registered;
 
   /** Where it listens, by the cloud's list. */
   private String listedEndpoint;
 
-  private Report report;
-  private long reportMicros;
+  private Heartbeat heartbeat;
+  private long heartbeatMicros;
   private long answeredMicros = NEVER;
 
   /** The term of the last answer, and the answer before it that may have got there. */
   private long answeredTerm;
 
-  private long answeredBefore = NEVER;
-  private long recallAtMicros;
+  private long previousAnsweredMicros = NEVER;
+  private long reclaimAtMicros;
 
   /** Attempts by task name, for all shards as far as the followed copy tells. */
   private final Map<String, Attempt> attempts = new LinkedHashMap<>();
 
   /** Images that it has, the newest last, with their sizes. */
-  private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
+  private final LinkedHashMap<String, Double> cachedImages = new LinkedHashMap<>(8, 0.75f, true);
 
-  /** Failures in a row, and the job of the last. */
-  public int errors;
+  private int consecutiveFailures;
+  private String lastFailedJob = "";
 
-  public String lastErrorJob = "";
+  private boolean unreachable;
+  private boolean confirmedUnreachable;
+  private long unreachableSinceMicros;
+  private long unreachableIncarnation;
+  private long probedMicros = NEVER;
 
-  private boolean deaf;
-  private boolean surelyDeaf;
-  private long deafSinceMicros;
-  private long deafTenure;
-  private long askedMicros = NEVER;
-
-  /** Nothing new before this. */
-  public long restUntilMicros;
-
-  /** Since when nothing is on it; 0 while something is. */
-  public long idleSinceMicros;
-
-  /** Whether the work there is likely to be fits on the other machines. */
-  public boolean unneeded;
-
-  /** Whether its release is under way. */
-  public boolean releasing;
+  private long quarantinedUntilMicros;
+  private long idleSinceMicros;
+  private boolean surplus;
+  private boolean releasing;
 
   Worker(String host) {
     this.host = host;
@@ -75,7 +66,7 @@
    * its shard, so that no two shards can enter it.
    */
   public static String key(String host) {
-    return KEYS + host.substring(0, host.length() - 1) + "-";
+    return KEY_PREFIX + host.substring(0, host.length() - 1) + "-";
   }
 
   /** Its field in that key. */
@@ -85,7 +76,7 @@
 
   /** The machine that a field of a key is about. */
   static String host(String key, String field) {
-    return key.substring(KEYS.length(), key.length() - 1) + field;
+    return key.substring(KEY_PREFIX.length(), key.length() - 1) + field;
   }
 
   /** What is stored for a machine. */
@@ -105,12 +96,12 @@
   }
 
   public String record(int inShard, boolean isLeaving) {
-    return record(inShard, type, zone, spot, rentedWallMicros, isLeaving);
+    return record(inShard, type, zone, spot, launchedWallMicros, isLeaving);
   }
 
   /** Its record as the followed copy has it; null if it isn't entered. */
   public String record() {
-    return entered ? record(shard, leaving) : null;
+    return registered ? record(shard, terminating) : null;
   }
 
   void read(String record) {
@@ -119,42 +110,43 @@
     type = f[1];
     zone = f[2];
     spot = f[3].equals("s");
-    rentedWallMicros = Long.parseLong(f[4]);
-    leaving = f[5].equals("x");
-    entered = true;
+    launchedWallMicros = Long.parseLong(f[4]);
+    terminating = f[5].equals("x");
+    registered = true;
   }
 
   /** Its record has gone, and with it the machine. */
-  void gone() {
-    entered = false;
-    leaving = true;
+  void markDeregistered() {
+    registered = false;
+    terminating = true;
   }
 
-  void report(Report newest, long nowMicros) {
-    if (newest.token() < answeredTerm) {
+  void onHeartbeat(Heartbeat newest, long nowMicros) {
+    if (newest.fencingToken() < answeredTerm) {
       // It has not seen the token of our last answer: that got lost, and renewed no lease.
-      answeredMicros = answeredBefore;
+      answeredMicros = previousAnsweredMicros;
       answeredTerm = 0;
     }
-    report = newest;
-    reportMicros = nowMicros;
-    recallAtMicros = newest.recallS() < 0 ? 0 : nowMicros + (long) (newest.recallS() * 1e6);
+    heartbeat = newest;
+    heartbeatMicros = nowMicros;
+    reclaimAtMicros =
+        newest.reclaimInSeconds() < 0 ? 0 : nowMicros + (long) (newest.reclaimInSeconds() * 1e6);
   }
 
-  void answered(long nowMicros, long term) {
-    if (answeredTerm == 0 || report.token() >= answeredTerm) {
-      answeredBefore = answeredMicros;
+  void onAnswered(long nowMicros, long term) {
+    if (answeredTerm == 0 || heartbeat.fencingToken() >= answeredTerm) {
+      previousAnsweredMicros = answeredMicros;
     }
     answeredTerm = term;
     answeredMicros = nowMicros;
   }
 
   /** Notes that our answers don't reach it: nothing new goes there until one does. */
-  public void doesNotHear(long nowMicros) {
-    if (!deaf) {
-      deaf = true;
-      deafSinceMicros = nowMicros;
-      deafTenure = report.tenure();
+  public void markUnreachable(long nowMicros) {
+    if (!unreachable) {
+      unreachable = true;
+      unreachableSinceMicros = nowMicros;
+      unreachableIncarnation = heartbeat.incarnation();
     }
   }
 
@@ -162,55 +154,55 @@
    * Looks at what its newest report says of that: a session that outlasts a lease has been
    * answered, so that an answer or two were only late; one that has ended meanwhile has not.
    */
-  public void judgeHearing(long nowMicros, long leaseMicros) {
-    if (!deaf) {
+  public void updateReachability(long nowMicros, long leaseMicros) {
+    if (!unreachable) {
       return;
     }
-    if (report.tenure() > deafTenure) {
-      surelyDeaf = true;
-    } else if (nowMicros - deafSinceMicros > leaseMicros) {
-      hears();
+    if (heartbeat.incarnation() > unreachableIncarnation) {
+      confirmedUnreachable = true;
+    } else if (nowMicros - unreachableSinceMicros > leaseMicros) {
+      markReachable();
     }
   }
 
   /** Whether a session has ended for want of the answers that were given in it. */
-  public boolean surelyDeaf() {
-    return surelyDeaf;
+  public boolean confirmedUnreachable() {
+    return confirmedUnreachable;
   }
 
   /** Notes that a command of ours was carried out. */
-  public void hears() {
-    deaf = false;
-    surelyDeaf = false;
+  public void markReachable() {
+    unreachable = false;
+    confirmedUnreachable = false;
   }
 
-  public boolean deaf() {
-    return deaf;
+  public boolean unreachable() {
+    return unreachable;
   }
 
   /** Whether its state is worth asking for: what it sends is older than what it has sent. */
-  boolean mayAsk(long nowMicros, long gapMicros) {
-    if (nowMicros < askedMicros + gapMicros) {
+  boolean mayProbe(long nowMicros, long gapMicros) {
+    if (nowMicros < probedMicros + gapMicros) {
       return false;
     }
-    askedMicros = nowMicros;
+    probedMicros = nowMicros;
     return true;
   }
 
   /** It has begun anew, without what was on it: older sessions count no more. */
-  void restarted() {
-    report = null;
+  void onRestart() {
+    heartbeat = null;
     answeredTerm = 0;
   }
 
   /** Notes an image that it has, forgetting those used longest ago when they don't fit. */
-  public void hasImage(String image, double gb, double cacheGb) {
-    Double known = images.put(image, gb);
+  public void cacheImage(String image, double gb, double cacheGb) {
+    Double known = cachedImages.put(image, gb);
     if (known != null && known == gb) {
       return;
     }
-    double sum = images.values().stream().mapToDouble(Double::doubleValue).sum();
-    var oldest = images.entrySet().iterator();
+    double sum = cachedImages.values().stream().mapToDouble(Double::doubleValue).sum();
+    var oldest = cachedImages.entrySet().iterator();
     while (sum > cacheGb && oldest.hasNext()) {
       sum -= oldest.next().getValue();
       oldest.remove();
@@ -218,21 +210,89 @@
   }
 
   public boolean hasImage(String image) {
-    return images.containsKey(image);
+    return cachedImages.containsKey(image);
   }
 
-  public java.util.Collection<String> images() {
-    return images.keySet();
+  public java.util.Collection<String> cachedImages() {
+    return cachedImages.keySet();
   }
 
   /** Forgets the session, as when its shard has come from another controller. */
-  void forget() {
-    report = null;
-    reportMicros = 0;
+  void resetSession() {
+    heartbeat = null;
+    heartbeatMicros = 0;
     answeredMicros = NEVER;
-    answeredBefore = NEVER;
+    previousAnsweredMicros = NEVER;
     answeredTerm = 0;
-    recallAtMicros = 0;
+    reclaimAtMicros = 0;
+  }
+
+  /** How many tasks failed on it in a row; failures of more than one job count twice. */
+  public int consecutiveFailures() {
+    return consecutiveFailures;
+  }
+
+  /** A task has completed on it. */
+  public void resetFailures() {
+    consecutiveFailures = 0;
+  }
+
+  /** Counts a task that failed on it; returns {@link #consecutiveFailures}. */
+  public int countFailure(String job) {
+    consecutiveFailures++;
+    if (!lastFailedJob.equals(job) && consecutiveFailures > 1) {
+      // Failures of more than one job in a row speak against the machine.
+      consecutiveFailures++;
+    }
+    lastFailedJob = job;
+    return consecutiveFailures;
+  }
+
+  /** No task is started on it before this time. */
+  public long quarantinedUntilMicros() {
+    return quarantinedUntilMicros;
+  }
+
+  /** Starts no task on it before a time. */
+  public void quarantineUntil(long micros) {
+    quarantinedUntilMicros = micros;
+  }
+
+  /** Since when nothing is on it; 0 while something is, or if that is not known. */
+  public long idleSinceMicros() {
+    return idleSinceMicros;
+  }
+
+  /** Nothing is on it, from now on unless that was so already. */
+  public void markIdle(long nowMicros) {
+    if (idleSinceMicros == 0) {
+      idleSinceMicros = nowMicros;
+    }
+  }
+
+  /** Something is on it. */
+  public void markBusy() {
+    idleSinceMicros = 0;
+  }
+
+  /** Whether the work that is likely to come fits on the other machines. */
+  public boolean surplus() {
+    return surplus;
+  }
+
+  /** Says whether the work that is likely to come fits on the other machines. */
+  public void setSurplus(boolean isSurplus) {
+    surplus = isSurplus;
+  }
+
+  /** Whether its release, or its transfer to another shard, is under way. */
+  public boolean releasing() {
+    return releasing;
+  }
+
+  /** Says whether its release, or its transfer to another shard, is under way. */
+  public void setReleasing(boolean isReleasing) {
+    releasing = isReleasing;
   }
 
   public String host() {
@@ -255,34 +315,34 @@
     return spot;
   }
 
-  public long rentedWallMicros() {
-    return rentedWallMicros;
+  public long launchedWallMicros() {
+    return launchedWallMicros;
   }
 
-  public boolean leaving() {
-    return leaving;
+  public boolean terminating() {
+    return terminating;
   }
 
   /** Whether the state store has it. */
-  public boolean entered() {
-    return entered;
+  public boolean registered() {
+    return registered;
   }
 
-  public Report report() {
-    return report;
+  public Heartbeat heartbeat() {
+    return heartbeat;
   }
 
   /** Where commands reach it; null if that is not known. */
   public String endpoint() {
-    return report != null ? report.endpoint() : listedEndpoint;
+    return heartbeat != null ? heartbeat.endpoint() : listedEndpoint;
   }
 
-  public void listed(String endpoint) {
+  public void setListedEndpoint(String endpoint) {
     listedEndpoint = endpoint;
   }
 
-  public long reportMicros() {
-    return reportMicros;
+  public long heartbeatMicros() {
+    return heartbeatMicros;
   }
 
   /**
@@ -290,7 +350,7 @@
    * start has still to be answered.
    */
   public long nextAnswerMicros(long reportEveryMicros) {
-    return answeredMicros < reportMicros ? reportMicros : reportMicros + reportEveryMicros;
+    return answeredMicros < heartbeatMicros ? heartbeatMicros : heartbeatMicros + reportEveryMicros;
   }
 
   public long answeredMicros() {
@@ -298,12 +358,12 @@
   }
 
   /** When the cloud takes it away; 0 if it stays. */
-  public long recallAtMicros() {
-    return recallAtMicros;
+  public long reclaimAtMicros() {
+    return reclaimAtMicros;
   }
 
   /** Whether a start decided for it waits to be committed. */
-  boolean startsPending() {
+  boolean hasUncommittedStarts() {
     for (Attempt a : attempts.values()) {
       if (!a.closed() && !a.committed()) {
         return true;
@@ -313,9 +373,11 @@
   }
 
   /** Whether a start has been committed that no answer has carried yet, or an end is wanted. */
-  boolean startsToSend() {
+  boolean hasCommandsToSend() {
     for (Attempt a : attempts.values()) {
-      if (!a.closed() && a.committed() && (a.killed() || a.seen() == Attempt.Seen.NOT_YET)) {
+      if (!a.closed()
+          && a.committed()
+          && (a.killRequested() || a.observedPhase() == Attempt.ObservedPhase.NOT_OBSERVED)) {
         return true;
       }
     }
--- a/src/main/java/gladeknot/workers/WorkerRegistry.java
+++ b/src/main/java/gladeknot/workers/WorkerRegistry.java
@@ -1,7 +1,7 @@
 package gladeknot.workers;
 
-import gladeknot.placement.Attempt;
 import gladeknot.state.StateStore;
+import gladeknot.tasks.Attempt;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -24,17 +24,17 @@
   }
 
   /** The machines of a shard that the state store has. */
-  public Collection<Worker> of(int shard) {
+  public Collection<Worker> inShard(int shard) {
     return byShard.getOrDefault(shard, Map.of()).values();
   }
 
   /** Whether a machine was given back: what still comes in its name is a late copy. */
-  public boolean released(String host) {
+  public boolean wasReleased(String host) {
     return released.contains(host);
   }
 
   /** Takes in a change of a key of machines. */
-  public void changed(String key, StateStore.Entry before, StateStore.Entry now) {
+  public void onChange(String key, StateStore.Entry before, StateStore.Entry now) {
     Map<String, Object> old = before == null ? Map.of() : before.data();
     Map<String, Object> data = now == null ? Map.of() : now.data();
     data.forEach(
@@ -43,32 +43,32 @@
             String host = Worker.host(key, field);
             if (record.equals(Worker.RELEASED)) {
               released.add(host);
-              gone(host);
+              onDeregistered(host);
             } else {
-              entered(host, (String) record);
+              onRegistered(host, (String) record);
             }
           }
         });
     for (String field : old.keySet()) {
       if (!data.containsKey(field)) {
-        gone(Worker.host(key, field));
+        onDeregistered(Worker.host(key, field));
       }
     }
   }
 
-  private void entered(String host, String record) {
+  private void onRegistered(String host, String record) {
     Worker w = workers.computeIfAbsent(host, Worker::new);
     int before = w.shard();
-    boolean known = w.entered();
+    boolean known = w.registered();
     w.read(record);
     if (known && before != w.shard()) {
-      w.forget();
+      w.resetSession();
       byShard.get(before).remove(host);
     }
     byShard.computeIfAbsent(w.shard(), s -> new LinkedHashMap<>()).put(host, w);
   }
 
-  private void gone(String host) {
+  private void onDeregistered(String host) {
     Worker w = workers.get(host);
     if (w == null) {
       return;
@@ -77,30 +77,30 @@
     if (shard != null) {
       shard.remove(host);
     }
-    w.gone();
+    w.markDeregistered();
     if (w.attempts().isEmpty()) {
       workers.remove(host);
     }
   }
 
   /** Notes an attempt on its machine, known or not. */
-  public void put(Attempt a) {
+  public void attach(Attempt a) {
     workers.computeIfAbsent(a.host(), Worker::new).attempts().put(a.name(), a);
   }
 
   /** Takes an attempt off its machine. */
-  public void remove(Attempt a) {
+  public void detach(Attempt a) {
     Worker w = workers.get(a.host());
     if (w != null) {
       w.attempts().remove(a.name(), a);
-      if (!w.entered() && w.attempts().isEmpty()) {
+      if (!w.registered() && w.attempts().isEmpty()) {
         workers.remove(a.host());
       }
     }
   }
 
   /** Forgets what a former owner's sessions of a shard said. */
-  public void forget(int shard) {
-    of(shard).forEach(Worker::forget);
+  public void resetSessions(int shard) {
+    inShard(shard).forEach(Worker::resetSession);
   }
 }
--- a/src/test/java/gladeknot/app/MeetingsTest.java
+++ b/src/test/java/gladeknot/app/CombinedFaultsTest.java
@@ -19,7 +19,7 @@
  * users go on asking; then all is calm, nothing may be forgotten or left waiting, and what was
  * accepted comes to its end.
  */
-class MeetingsTest {
+class CombinedFaultsTest {
   private record Case(String name, int nodes, long seed, Consumer<SimulatedCluster> faults) {
     private Case(String name, long seed, Consumer<SimulatedCluster> faults) {
       this(name, 3, seed, faults);
--- a/src/test/java/gladeknot/app/HomeSelectorTest.java
+++ b/src/test/java/gladeknot/app/HomeShardSelectorTest.java
@@ -12,7 +12,7 @@
 /**
  * Services are taken in by the shard whose machines have their image, other jobs where they come.
  */
-class HomeSelectorTest {
+class HomeShardSelectorTest {
   private static final String HOME = "h";
 
   @ParameterizedTest
--- a/src/test/java/gladeknot/app/LoadTest.java
+++ b/src/test/java/gladeknot/app/LoadTest.java
@@ -12,7 +12,7 @@
 /** What load does: nobody starves, and a larger fleet costs no more a task. */
 class LoadTest {
   /** Below half of the time between two reports, in which a start would wait otherwise. */
-  private static final long MOST_WAIT = 450_000;
+  private static final long MAX_WAIT = 450_000;
 
   @Test
   void theLargestBeginHoweverMuchSmallWorkComes() {
@@ -59,7 +59,7 @@
       }
       w.run(SimulatedCluster.SECOND / 3);
     }
-    assertTrue(waited / jobs < MOST_WAIT, waited / jobs + " us from submission to start");
+    assertTrue(waited / jobs < MAX_WAIT, waited / jobs + " us from submission to start");
     assertEquals(List.of(), w.broken());
   }
 
--- a/src/test/java/gladeknot/app/PartialCutsLoopbackTest.java
+++ b/src/test/java/gladeknot/app/PartialCutsLoopbackTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import gladeknot.standin.DirectionalProxy.Mode;
 import gladeknot.standin.DirectionalProxy.Toward;
 import gladeknot.standin.LoopbackCluster;
--- a/src/test/java/gladeknot/app/RequestsTest.java
+++ b/src/test/java/gladeknot/app/RequestsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import gladeknot.standin.SimulatedCluster;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
--- a/src/test/java/gladeknot/app/SimulatedClusterTest.java
+++ b/src/test/java/gladeknot/app/SimulatedClusterTest.java
@@ -349,7 +349,7 @@
     assertEquals("running", w.phase("req-many"));
     assertEquals(List.of(), w.broken());
     for (String key : w.state.keys("g/sl/")) {
-      int size = gladeknot.http.Json.bytes(w.state.get(key)).length;
+      int size = gladeknot.json.Json.bytes(w.state.get(key)).length;
       assertTrue(size < 8192, key + " has " + size);
     }
   }
--- a/src/test/java/gladeknot/app/RecalledMachinesTest.java
+++ b/src/test/java/gladeknot/app/SpotReclaimsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Tasks on machines that are taken back go on elsewhere without waiting for their leases. */
-class RecalledMachinesTest {
+class SpotReclaimsTest {
   private static final int TASKS = 16;
 
   /** Tasks that can't end in time leave at once, a gang at the last moment. */
--- a/src/test/java/gladeknot/app/UpgradeTest.java
+++ b/src/test/java/gladeknot/app/UpgradeTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.standin.SimulatedCluster.Scale;
 import java.util.List;
@@ -31,7 +31,7 @@
   private static final int NEXT_OPERATIONS = 4;
 
   /** Transactions that may be refused while the limits fall unseen. */
-  private static final int MOST_REFUSED = 6;
+  private static final int MAX_REFUSED = 6;
 
   private static final Scale SCALE =
       new Scale(180, 700_000, 300, 150, 4 * NEXT_VALUE_BYTES, NEXT_VALUE_BYTES, NEXT_OPERATIONS);
@@ -194,7 +194,7 @@
       assertTrue(bytes <= NEXT_VALUE_BYTES, key + " has " + bytes);
       assertTrue(!key.matches("g/sl/[0-9]+/[aw][0-9]"), key + " is left");
     }
-    assertTrue(w.state.tooLarge <= MOST_REFUSED, w.state.tooLarge + " refused");
+    assertTrue(w.state.tooLarge <= MAX_REFUSED, w.state.tooLarge + " refused");
   }
 
   @Test
--- a/src/test/java/gladeknot/connectivity/AuthorityTest.java
+++ b/src/test/java/gladeknot/connectivity/AuthorityTest.java
@@ -11,7 +11,7 @@
 
 /** The table of authority: which kinds of orders stop when one thing does not hold. */
 class AuthorityTest {
-  private static final Set<OrderKind> ALL = EnumSet.allOf(OrderKind.class);
+  private static final Set<ControlAction> ALL = EnumSet.allOf(ControlAction.class);
 
   /** Facts of which one does not hold. */
   private record AllBut(Requirement missing) implements Authority.ShardFacts, Authority.StateLink {
@@ -46,38 +46,43 @@
     }
   }
 
-  private static Set<OrderKind> permitted(Requirement missing) {
+  private static Set<ControlAction> permitted(Requirement missing) {
     AllBut facts = new AllBut(missing);
     Authority authority = new Authority(facts, facts);
-    EnumSet<OrderKind> permitted = EnumSet.noneOf(OrderKind.class);
+    EnumSet<ControlAction> permitted = EnumSet.noneOf(ControlAction.class);
     ALL.stream().filter(kind -> authority.permits(kind, 0)).forEach(permitted::add);
     return permitted;
   }
 
-  private static Set<OrderKind> allBut(OrderKind... kinds) {
+  private static Set<ControlAction> allBut(ControlAction... kinds) {
     return EnumSet.complementOf(EnumSet.copyOf(List.of(kinds)));
   }
 
   @Test
   void whatIsMissingStopsItsOrdersAndNoOthers() {
-    OrderKind[] committed = {
-      OrderKind.DECIDE, OrderKind.RECORD, OrderKind.RENT, OrderKind.RELEASE, OrderKind.CHANGE_BUDGET
+    ControlAction[] committed = {
+      ControlAction.SCHEDULE,
+      ControlAction.COMMIT,
+      ControlAction.SCALE_OUT,
+      ControlAction.SCALE_IN,
+      ControlAction.CHANGE_QUOTA
     };
     assertEquals(ALL, permitted(null));
     assertEquals(allBut(committed), permitted(Requirement.SETTLED));
     assertEquals(allBut(committed), permitted(Requirement.LOADED));
-    assertEquals(allBut(OrderKind.START), permitted(Requirement.FRESH_COPY));
+    assertEquals(allBut(ControlAction.SEND_RUN), permitted(Requirement.FRESH_COPY));
     assertEquals(
-        Set.of(OrderKind.KILL_OVERDUE, OrderKind.MOVE_SHARD, OrderKind.ANSWER_USER),
+        Set.of(
+            ControlAction.KILL_CANCELLED, ControlAction.TRANSFER_SHARD, ControlAction.ANSWER_USER),
         permitted(Requirement.LEASE));
     // What keeps tasks alive, and what ends them, does not depend on links.
     assertEquals(
         Set.of(
-            OrderKind.RECORD,
-            OrderKind.KILL,
-            OrderKind.KILL_OVERDUE,
-            OrderKind.REAP,
-            OrderKind.RENEW_LEASE),
+            ControlAction.COMMIT,
+            ControlAction.KILL,
+            ControlAction.KILL_CANCELLED,
+            ControlAction.PURGE,
+            ControlAction.RENEW_LEASE),
         permitted(Requirement.STATE_LINK));
   }
 
--- a/src/test/java/gladeknot/connectivity/PartialCutsPropertiesTest.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsPropertiesTest.java
@@ -21,8 +21,8 @@
  */
 class PartialCutsPropertiesTest {
   private static final int NODES = 3;
-  private static final int MOST_STEPS = 8;
-  private static final int MOST_STEP_TENTHS = 120;
+  private static final int MAX_STEPS = 8;
+  private static final int MAX_STEP_TENTHS = 120;
 
   /** What happens to the cluster in one step. */
   enum Action {
@@ -81,11 +81,11 @@
             Arbitraries.integers().between(0, NODES - 1),
             Arbitraries.integers().between(0, NODES - 1),
             Arbitraries.of(Way.class),
-            Arbitraries.integers().between(1, MOST_STEP_TENTHS))
+            Arbitraries.integers().between(1, MAX_STEP_TENTHS))
         .as(Step::new)
         .list()
         .ofMinSize(1)
-        .ofMaxSize(MOST_STEPS);
+        .ofMaxSize(MAX_STEPS);
   }
 
   @Property(tries = 12, seed = "20261202", shrinking = ShrinkingMode.BOUNDED)
--- a/src/test/java/gladeknot/connectivity/PartialCutsSoak.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsSoak.java
@@ -14,7 +14,7 @@
  * -Dtest=PartialCutsSoak}.
  */
 class PartialCutsSoak {
-  private static final int MOST_SEED = 1_000_000;
+  private static final int MAX_SEED = 1_000_000;
 
   @Provide
   Arbitrary<List<PartialCutsPropertiesTest.Step>> schedules() {
@@ -23,7 +23,7 @@
 
   @Provide
   Arbitrary<Integer> seeds() {
-    return Arbitraries.integers().between(1, MOST_SEED);
+    return Arbitraries.integers().between(1, MAX_SEED);
   }
 
   @Property(tries = 300, shrinking = ShrinkingMode.BOUNDED)
--- a/src/test/java/gladeknot/connectivity/PartialCutsTest.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsTest.java
@@ -25,7 +25,7 @@
   private static final long LEASE = SimulatedCluster.LEASE;
   private static final long CANCEL = SimulatedCluster.CANCEL;
 
-  private static final int MOST_STARTED_AGAIN = 10;
+  private static final int MAX_STARTED_AGAIN = 10;
 
   private record Case(String name, long seed, Consumer<SimulatedCluster> faults) {}
 
@@ -236,7 +236,7 @@
     // 40 + 3 + 4 + 5 and ten times 12 tasks: on return nothing is started that need not be.
     int tasks = 172;
     assertTrue(w.starts() >= tasks, "starts: " + w.starts());
-    assertTrue(w.starts() <= tasks + MOST_STARTED_AGAIN, "starts: " + w.starts());
+    assertTrue(w.starts() <= tasks + MAX_STARTED_AGAIN, "starts: " + w.starts());
   }
 
   /** Renewals arrive all the time: without its owner's own doing the shard would stay there. */
--- a/src/test/java/gladeknot/connectivity/ShardOffersTest.java
+++ b/src/test/java/gladeknot/connectivity/ShardOffersTest.java
@@ -20,7 +20,7 @@
   private final ShardView shards =
       new ShardView() {
         @Override
-        public int shards() {
+        public int shardCount() {
           return 1;
         }
 
@@ -45,12 +45,12 @@
         }
 
         @Override
-        public long mostTerm(int shard) {
+        public long highestTerm(int shard) {
           return term;
         }
 
         @Override
-        public boolean ours(int shard) {
+        public boolean isOwned(int shard) {
           return false;
         }
 
--- a/src/test/java/gladeknot/fleet/CapacityTest.java
+++ b/src/test/java/gladeknot/fleet/CapacityTest.java
@@ -5,6 +5,7 @@
 
 import gladeknot.jobs.JobSpec;
 import gladeknot.standin.SimulatedCluster;
+import gladeknot.workers.MachineType;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/gladeknot/fleet/ForecastTest.java
+++ b/src/test/java/gladeknot/fleet/ForecastTest.java
@@ -5,6 +5,7 @@
 
 import gladeknot.jobs.JobSpec;
 import gladeknot.standin.SimulatedCluster;
+import gladeknot.workers.MachineType;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -23,8 +24,8 @@
     JobSpec spec = spec("array");
     Forecast.Slot slot = new Forecast.Slot(TYPE, "a", true, 0, 0, List.of("img"));
     forecast.add(slot);
-    forecast.running(JobSpec.Rank.NORMAL, slot, 0, 5_000_000, 1000, 0, 1000);
-    forecast.admit(JobSpec.Rank.NORMAL);
+    forecast.running(JobSpec.Priority.NORMAL, slot, 0, 5_000_000, 1000, 0, 1000);
+    forecast.admit(JobSpec.Priority.NORMAL);
     long[] expected = {0, 5_000_000, 6_000_000, 11_000_000};
     for (long at : expected) {
       assertEquals(at, forecast.put(forecast.search(spec, -1).best(Map.of()), spec, 6_000_000));
@@ -56,10 +57,10 @@
     JobSpec web = spec("service");
     Forecast.Slot slot = new Forecast.Slot(TYPE, "a", false, 0, 0, List.of("img"));
     forecast.add(slot);
-    forecast.running(JobSpec.Rank.NORMAL, slot, 0, 50_000_000, 2000, 0, 2000);
-    forecast.admit(JobSpec.Rank.PROD);
+    forecast.running(JobSpec.Priority.NORMAL, slot, 0, 50_000_000, 2000, 0, 2000);
+    forecast.admit(JobSpec.Priority.PROD);
     assertEquals(0, slot.earliest(web));
-    forecast.admit(JobSpec.Rank.NORMAL);
+    forecast.admit(JobSpec.Priority.NORMAL);
     assertEquals(50_000_000, slot.earliest(web));
   }
 
--- a/src/test/java/gladeknot/http/HttpCallerTest.java
+++ b/src/test/java/gladeknot/http/HttpCallerTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gladeknot.outbox.Outbox;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -51,11 +52,11 @@
       assertTrue(all.await(30, TimeUnit.SECONDS));
       assertEquals(2 * MACHINES, answered.get());
       int open = Integer.MAX_VALUE;
-      for (int i = 0; i < 200 && open > HttpCaller.MOST_IDLE; i++) {
+      for (int i = 0; i < 200 && open > HttpCaller.MAX_IDLE; i++) {
         Thread.sleep(20);
         open = group.next().submit(() -> server[0].connections()).get();
       }
-      assertTrue(open <= HttpCaller.MOST_IDLE, open + " connections are open");
+      assertTrue(open <= HttpCaller.MAX_IDLE, open + " connections are open");
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
--- a/src/test/java/gladeknot/jobs/JobRegistryTest.java
+++ b/src/test/java/gladeknot/jobs/JobRegistryTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.state.StateStore;
 import java.util.ArrayList;
@@ -30,7 +30,7 @@
   }
 
   private void put(String id, Map<String, Object> record) {
-    jobs.changed(Job.key(id), new StateStore.Entry(record, ++stamp));
+    jobs.onChange(Job.key(id), new StateStore.Entry(record, ++stamp));
   }
 
   private void done(String id) {
@@ -38,7 +38,7 @@
   }
 
   private void withdraw(String id) {
-    put(id, Job.withdrawn(1));
+    put(id, Job.cancelled(1));
   }
 
   @Test
@@ -48,7 +48,7 @@
     accept("req-c", "req-a", "req-b");
     assertNull(jobs.active("req-c"));
     done("req-a");
-    assertEquals(List.of("req-b"), List.copyOf(jobs.openNeeds("req-c")));
+    assertEquals(List.of("req-b"), List.copyOf(jobs.openDependencies("req-c")));
     done("req-b");
     assertEquals("req-c", jobs.active("req-c").id());
     assertEquals(
@@ -64,17 +64,17 @@
       for (String name : order) {
         Map<String, Object> record =
             switch (name) {
-              case "a" -> Job.withdrawn(1);
+              case "a" -> Job.cancelled(1);
               case "b" -> Job.done(1, 5_000);
               case "c" -> record("req-c", "req-b");
               case "d" -> record("req-d", "req-c", "req-a");
               default -> record("req-e", "req-d");
             };
-        read.changed(Job.key("req-" + name), new StateStore.Entry(record, 1));
+        read.onChange(Job.key("req-" + name), new StateStore.Entry(record, 1));
       }
       assertEquals(5_000, read.active("req-c").readyMicros());
-      assertTrue(read.isOver("req-d") && read.isOver("req-e"), order.toString());
-      assertEquals(2, read.withdrawnThroughOthers().size());
+      assertTrue(read.isFinished("req-d") && read.isFinished("req-e"), order.toString());
+      assertEquals(2, read.cancelledByDependency().size());
       assertEquals(0, read.held().size());
     }
   }
@@ -105,11 +105,11 @@
     withdraw("req-c");
     assertEquals("req-b", jobs.unfinished("req-b").id());
     withdraw("req-b");
-    assertTrue(jobs.isOver("req-d"));
+    assertTrue(jobs.isFinished("req-d"));
     assertEquals("req-a", jobs.active("req-a").id());
     // Its own record says so at last.
     withdraw("req-d");
-    assertEquals(List.of(), jobs.withdrawnThroughOthers());
-    assertEquals(Job.Phase.WITHDRAWN, jobs.over("req-d").phase());
+    assertEquals(List.of(), jobs.cancelledByDependency());
+    assertEquals(Job.Phase.CANCELLED, jobs.finished("req-d").phase());
   }
 }
--- a/src/test/java/gladeknot/membership/LeaseTimesTest.java
+++ b/src/test/java/gladeknot/membership/LeaseTimesTest.java
@@ -35,7 +35,7 @@
     assertEquals(answers, times.actsUntilMicros(0, 1_000_000));
     assertTrue((answers + micros(lease)) * TWO_DRIFTING_CLOCKS < micros(cancel));
     // Nobody takes a lease as lapsed before it has, nor a delegation as over while it is used.
-    assertTrue(times.lapsedAfterMicros() > micros(lease) * TWO_DRIFTING_CLOCKS);
+    assertTrue(times.expiredAfterMicros() > micros(lease) * TWO_DRIFTING_CLOCKS);
     assertTrue(times.delegatedUntilMicros(0) > times.delegateUntilMicros(0) * TWO_DRIFTING_CLOCKS);
   }
 
--- a/src/test/java/gladeknot/membership/OwnedShardsTest.java
+++ b/src/test/java/gladeknot/membership/OwnedShardsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gladeknot.http.Outbox;
+import gladeknot.outbox.Outbox;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.state.StateStore;
 import java.util.ArrayList;
@@ -27,17 +27,17 @@
               changes -> {}),
           new Membership.Listener() {
             @Override
-            public void gained(int shard) {
+            public void onAcquired(int shard) {
               heard.add("gained " + shard);
             }
 
             @Override
-            public void lost(int shard) {
+            public void onReleased(int shard) {
               heard.add("lost " + shard);
             }
 
             @Override
-            public boolean silent(int shard) {
+            public boolean mostWorkersTimedOut(int shard) {
               return false;
             }
           });
--- a/src/test/java/gladeknot/peer/PeerMessageTest.java
+++ b/src/test/java/gladeknot/peer/PeerMessageTest.java
@@ -19,7 +19,7 @@
           "node-1",
           2,
           7,
-          List.of(new PeerMessage.Short("dev", 3000, 1000)),
+          List.of(new PeerMessage.QuotaDeficit("dev", 3000, 1000)),
           List.of("req-a", "req-b"),
           Optional.empty());
 
@@ -57,7 +57,7 @@
   @Test
   void valuesOutOfRangeAreRefused() {
     Heard row = new Heard("node-1", "node-0", 4, 7);
-    List<Heard> tooMany = Collections.nCopies(PeerReach.MOST_ENTRIES + 1, row);
+    List<Heard> tooMany = Collections.nCopies(PeerReach.MAX_ENTRIES + 1, row);
     List<PeerReach> wrong =
         List.of(
             reach(0, List.of(), List.of(), List.of()),
--- a/src/test/java/gladeknot/placement/DeadlineCapacityTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
@@ -1,12 +1,12 @@
-package gladeknot.placement;
+package gladeknot.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import gladeknot.fleet.MachineType;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.state.StateStore;
+import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
 import java.util.List;
@@ -42,7 +42,7 @@
     String host = "vm-00000" + number;
     String record = Worker.record(0, type, "a", false, NOW, false);
     Map<String, Object> data = Map.of(Worker.field(host), record);
-    workers.changed(Worker.key(host), null, new StateStore.Entry(data, number));
+    workers.onChange(Worker.key(host), null, new StateStore.Entry(data, number));
   }
 
   private static MachineType type(String name) {
--- a/src/test/java/gladeknot/placement/UrgencyTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
@@ -1,15 +1,17 @@
-package gladeknot.placement;
+package gladeknot.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import gladeknot.http.Json;
-import gladeknot.http.Outbox;
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
 import gladeknot.policy.Policy;
 import gladeknot.settings.Settings;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.state.StateStore;
+import gladeknot.tasks.RuntimeEstimates;
+import gladeknot.tasks.SliceRegistry;
 import gladeknot.workers.WorkerRegistry;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -21,7 +23,7 @@
 import org.junit.jupiter.api.TestFactory;
 
 /** The order of jobs with deadlines: tasks of six seconds, one at a time. */
-class UrgencyTest {
+class DeadlineOrderTest {
   private static final long SECOND = 1_000_000;
   private static final long NOW = 1_000 * SECOND;
 
@@ -98,8 +100,8 @@
         s.clientListen(),
         s.peerListen(),
         s.members(),
-        s.cloud(),
-        s.state(),
+        s.cloudAddress(),
+        s.stateAddress(),
         s.zones(),
         s.clockErrorMicros(),
         s.teams(),
@@ -120,10 +122,11 @@
       Map<String, Object> spec = SimulatedCluster.job(w.id(), "array", w.tasks());
       spec.put("dueS", w.dueS());
       long at = NOW - w.agoS() * SECOND;
-      jobs.changed(Job.key(w.id()), new StateStore.Entry(Json.of("s", spec, "h", 0, "t", at), 1));
+      jobs.onChange(Job.key(w.id()), new StateStore.Entry(Json.of("s", spec, "h", 0, "t", at), 1));
       slices.jobChanged(w.id(), jobs.active(w.id()));
     }
-    Urgency urgency = new Urgency(settings, Policy.of(""), jobs, slices, new Estimates());
+    DeadlineOrder urgency =
+        new DeadlineOrder(settings, Policy.of(""), jobs, slices, new RuntimeEstimates());
     urgency.refresh(NOW, NOW, spec -> 1);
     return jobs.active().stream()
         .sorted(Comparator.comparingLong(urgency::key))
--- a/src/test/java/gladeknot/placement/InheritedUrgencyTest.java
+++ b/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
@@ -1,18 +1,19 @@
-package gladeknot.placement;
+package gladeknot.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import gladeknot.http.Json;
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
+import gladeknot.json.Json;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.state.StateStore;
+import gladeknot.tasks.RuntimeEstimates;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** What jobs inherit from those that wait for them. */
-class InheritedUrgencyTest {
+class PriorityInheritanceTest {
   private static final long SECOND = 1_000_000;
   private static final long NOW = 1_000 * SECOND;
 
@@ -20,7 +21,7 @@
   private static final long STEP = 6 * SECOND + 3 * SECOND;
 
   private final JobRegistry jobs = new JobRegistry((before, now) -> {});
-  private final InheritedUrgency urgency = new InheritedUrgency(jobs, new Estimates());
+  private final PriorityInheritance urgency = new PriorityInheritance(jobs, new RuntimeEstimates());
   private long stamp;
 
   private void accept(String id, String rank, Double dueS, String... needs) {
@@ -28,7 +29,7 @@
     spec.put("rank", rank);
     spec.put("dueS", dueS);
     Map<String, Object> data = Json.of("s", spec, "h", 0, "t", NOW);
-    jobs.changed(Job.key(id), new StateStore.Entry(data, ++stamp));
+    jobs.onChange(Job.key(id), new StateStore.Entry(data, ++stamp));
     urgency.refresh();
   }
 
@@ -37,11 +38,11 @@
     accept("req-a", "idle", null);
     accept("req-b", "normal", null, "req-a");
     accept("req-c", "idle", null, "req-a");
-    assertEquals(JobSpec.Rank.NORMAL, urgency.rank(jobs.active("req-a")));
-    assertEquals(InheritedUrgency.NEVER, urgency.latestEndMicros(jobs.active("req-a")));
+    assertEquals(JobSpec.Priority.NORMAL, urgency.priority(jobs.active("req-a")));
+    assertEquals(PriorityInheritance.NEVER, urgency.latestEndMicros(jobs.active("req-a")));
     // The last of a pipeline is submitted late, and raises those that run already.
     accept("req-d", "high", 100.0, "req-b", "req-c");
-    assertEquals(JobSpec.Rank.HIGH, urgency.rank(jobs.active("req-a")));
+    assertEquals(JobSpec.Priority.HIGH, urgency.priority(jobs.active("req-a")));
     assertEquals(NOW + 100 * SECOND - 2 * STEP, urgency.latestEndMicros(jobs.active("req-a")));
     assertEquals(NOW + 100 * SECOND - STEP, urgency.latestEndMicros(jobs.unfinished("req-c")));
   }
@@ -50,10 +51,11 @@
   void nothingIsInheritedFromAWithdrawnJob() {
     accept("req-a", "idle", null);
     accept("req-b", "high", 50.0, "req-a");
-    jobs.changed(Job.key("req-b"), new StateStore.Entry(Map.of("p", "withdrawn", "n", 2), ++stamp));
+    jobs.onChange(
+        Job.key("req-b"), new StateStore.Entry(Map.of("p", "withdrawn", "n", 2), ++stamp));
     urgency.refresh();
-    assertEquals(JobSpec.Rank.IDLE, urgency.rank(jobs.active("req-a")));
-    assertEquals(InheritedUrgency.NEVER, urgency.latestEndMicros(jobs.active("req-a")));
+    assertEquals(JobSpec.Priority.IDLE, urgency.priority(jobs.active("req-a")));
+    assertEquals(PriorityInheritance.NEVER, urgency.latestEndMicros(jobs.active("req-a")));
   }
 
   @Test
@@ -61,10 +63,10 @@
     accept("req-a", "idle", null);
     accept("req-b", "idle", null, "req-a");
     long end = NOW + 33 * SECOND;
-    jobs.changed(Job.key("req-a"), new StateStore.Entry(Job.done(2, end), ++stamp));
+    jobs.onChange(Job.key("req-a"), new StateStore.Entry(Job.done(2, end), ++stamp));
     assertEquals(end, jobs.active("req-b").readyMicros());
     // The first version's records don't tell when a job ended.
-    jobs.changed(Job.key("req-0"), new StateStore.Entry(Map.of("p", "done", "n", 2), ++stamp));
+    jobs.onChange(Job.key("req-0"), new StateStore.Entry(Map.of("p", "done", "n", 2), ++stamp));
     accept("req-c", "idle", null, "req-0");
     assertEquals(NOW, jobs.active("req-c").readyMicros());
   }
--- a/src/test/java/gladeknot/standin/BehaviourFingerprint.java
+++ b/src/test/java/gladeknot/standin/BehaviourFingerprint.java
@@ -2,8 +2,8 @@
 
 import com.google.common.hash.Hasher;
 import com.google.common.hash.Hashing;
-import gladeknot.http.Json;
-import gladeknot.http.Outbox;
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
 import gladeknot.peer.PeerMessage;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -60,7 +60,7 @@
   }
 
   /** One line with all counts and checksums, and a checksum over what is stored now. */
-  String line(StateStandIn stored) {
+  String line(FakeStateStore stored) {
     Hasher state = Hashing.sha256().newHasher();
     List<String> keys = stored.keys("");
     for (String key : keys) {
--- a/src/test/java/gladeknot/standin/CloudStandIn.java
+++ b/src/test/java/gladeknot/standin/FakeCloud.java
@@ -1,7 +1,7 @@
 package gladeknot.standin;
 
-import gladeknot.http.Json;
-import gladeknot.standin.StateStandIn.Answer;
+import gladeknot.json.Json;
+import gladeknot.standin.FakeStateStore.Answer;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 
 /** A small cloud: one machine type of two zones, with a limit on machines. */
-public final class CloudStandIn {
+public final class FakeCloud {
   /** A rented machine. */
   public static final class Machine {
     public final String id;
@@ -39,7 +39,7 @@
   private long changes;
 
   /** A cloud with room for so many machines, each up after the given time. */
-  public CloudStandIn(int capacity, long bootMicros) {
+  public FakeCloud(int capacity, long bootMicros) {
     this.capacity = capacity;
     this.bootMicros = bootMicros;
   }
--- a/src/test/java/gladeknot/standin/StateStandIn.java
+++ b/src/test/java/gladeknot/standin/FakeStateStore.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -9,7 +9,7 @@
 import java.util.function.BiConsumer;
 
 /** The state service as its page describes it, in memory, driven by the time that it is told. */
-public final class StateStandIn {
+public final class FakeStateStore {
   /** An answer. */
   public record Answer(int status, Map<String, Object> body) {}
 
--- a/src/test/java/gladeknot/standin/WorkerStandIn.java
+++ b/src/test/java/gladeknot/standin/FakeWorker.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -8,7 +8,7 @@
 import java.util.function.ToLongFunction;
 
 /** A worker as the protocol has it: sessions, tokens, leases, tasks. */
-public final class WorkerStandIn {
+public final class FakeWorker {
   /** A task on the machine. */
   public static final class Task {
     public final String name;
@@ -42,7 +42,7 @@
         public void ended(String host, String task, long number, boolean done, long micros) {}
       };
 
-  private final CloudStandIn.Machine machine;
+  private final FakeCloud.Machine machine;
   private final String endpoint;
   private final long leaseMicros;
   private final ToLongFunction<String> runMicros;
@@ -59,8 +59,8 @@
   public final List<String> starts = new ArrayList<>();
 
   /** A worker on a machine that is up, in its first session. */
-  public WorkerStandIn(
-      CloudStandIn.Machine machine,
+  public FakeWorker(
+      FakeCloud.Machine machine,
       String endpoint,
       long leaseMicros,
       ToLongFunction<String> runMicros,
@@ -189,14 +189,14 @@
   }
 
   /** Takes commands that come directly. */
-  public StateStandIn.Answer orders(Map<String, Object> body) {
+  public FakeStateStore.Answer orders(Map<String, Object> body) {
     long fence = Json.num(body, "fence", -1);
     if (fence < token || Json.num(body, "tenure", -1) != tenure) {
-      return new StateStandIn.Answer(409, report());
+      return new FakeStateStore.Answer(409, report());
     }
     token = fence;
     Json.objects(body, "orders").forEach(this::execute);
-    return new StateStandIn.Answer(200, report());
+    return new FakeStateStore.Answer(200, report());
   }
 
   private void execute(Map<String, Object> order) {
--- a/src/test/java/gladeknot/standin/FirstVersionRecords.java
+++ b/src/test/java/gladeknot/standin/FirstVersionRecords.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.util.Map;
 import java.util.regex.Pattern;
 
--- a/src/test/java/gladeknot/standin/History.java
+++ b/src/test/java/gladeknot/standin/History.java
@@ -1,7 +1,7 @@
 package gladeknot.standin;
 
-import gladeknot.placement.RecordedAttempts;
-import gladeknot.placement.RecordedAttempts.Recorded;
+import gladeknot.tasks.RecordedAttempts;
+import gladeknot.tasks.RecordedAttempts.Recorded;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/test/java/gladeknot/standin/LoopbackServices.java
+++ b/src/test/java/gladeknot/standin/LoopbackServices.java
@@ -2,7 +2,7 @@
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -39,8 +39,8 @@
     String address(String link, String target);
   }
 
-  private final StateStandIn state = new StateStandIn();
-  private final CloudStandIn cloud = new CloudStandIn(MACHINES, BOOT_MICROS);
+  private final FakeStateStore state = new FakeStateStore();
+  private final FakeCloud cloud = new FakeCloud(MACHINES, BOOT_MICROS);
   private final TreeMap<String, LoopbackWorker> workers = new TreeMap<>();
   private final ExecutorService threads = Executors.newCachedThreadPool(LoopbackServices::daemon);
   private final Links links;
@@ -78,7 +78,7 @@
 
   /** What answers one request. */
   interface Service {
-    StateStandIn.Answer serve(String method, String uri, byte[] body) throws IOException;
+    FakeStateStore.Answer serve(String method, String uri, byte[] body) throws IOException;
   }
 
   /** Listens on a free port of loopback; returns the address. */
@@ -94,24 +94,24 @@
   private static void handle(HttpExchange exchange, Service service) throws IOException {
     byte[] body = exchange.getRequestBody().readAllBytes();
     String uri = exchange.getRequestURI().toString();
-    StateStandIn.Answer answer = service.serve(exchange.getRequestMethod(), uri, body);
+    FakeStateStore.Answer answer = service.serve(exchange.getRequestMethod(), uri, body);
     byte[] bytes = Json.bytes(answer.body());
     exchange.sendResponseHeaders(answer.status(), bytes.length);
     exchange.getResponseBody().write(bytes);
     exchange.close();
   }
 
-  private StateStandIn.Answer serveState(String method, String uri, byte[] body)
+  private FakeStateStore.Answer serveState(String method, String uri, byte[] body)
       throws IOException {
     long until = now();
     if (uri.startsWith("/follow")) {
-      until += Long.parseLong(StateStandIn.query(uri).get("waitMs")) * 1000;
+      until += Long.parseLong(FakeStateStore.query(uri).get("waitMs")) * 1000;
     }
     while (true) {
       synchronized (this) {
         state.advance(now());
         boolean wait = uri.startsWith("/follow") && now() < until;
-        if (!wait || state.changedSince(Long.parseLong(StateStandIn.query(uri).get("from")))) {
+        if (!wait || state.changedSince(Long.parseLong(FakeStateStore.query(uri).get("from")))) {
           return state.serve(method, uri, body);
         }
       }
@@ -119,7 +119,7 @@
     }
   }
 
-  private synchronized StateStandIn.Answer serveCloud(String method, String uri, byte[] body)
+  private synchronized FakeStateStore.Answer serveCloud(String method, String uri, byte[] body)
       throws IOException {
     cloud.advance(now());
     return cloud.serve(method, uri, body);
@@ -130,14 +130,14 @@
       List<LoopbackWorker> all;
       synchronized (this) {
         cloud.advance(now());
-        List<CloudStandIn.Machine> up =
+        List<FakeCloud.Machine> up =
             cloud.machines().stream().filter(m -> m.upMicros <= now()).toList();
         for (LoopbackWorker worker : List.copyOf(workers.values())) {
           if (up.stream().noneMatch(m -> m.id.equals(worker.host()))) {
             workers.remove(worker.host()).shutDown();
           }
         }
-        for (CloudStandIn.Machine m : up) {
+        for (FakeCloud.Machine m : up) {
           workers.computeIfAbsent(m.id, id -> boot(m));
         }
         all = List.copyOf(workers.values());
@@ -150,7 +150,7 @@
     }
   }
 
-  private LoopbackWorker boot(CloudStandIn.Machine machine) {
+  private LoopbackWorker boot(FakeCloud.Machine machine) {
     try {
       return new LoopbackWorker(this, machine, history, taskMicros);
     } catch (IOException e) {
--- a/src/test/java/gladeknot/standin/LoopbackUsers.java
+++ b/src/test/java/gladeknot/standin/LoopbackUsers.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -17,7 +17,7 @@
 public final class LoopbackUsers implements Runnable {
   private static final Duration POLL_WAIT = Duration.ofSeconds(2);
   private static final Duration SUBMIT_WAIT = Duration.ofSeconds(5);
-  private static final int MOST_TASKS = 4;
+  private static final int MAX_TASKS = 4;
   private static final int CANCELLED_IN = 6;
   private static final int RETRY_MILLIS = 300;
 
@@ -47,7 +47,7 @@
   @Override
   public void run() {
     while (!stopped) {
-      submit("req-users" + next++, 1 + random.nextInt(MOST_TASKS));
+      submit("req-users" + next++, 1 + random.nextInt(MAX_TASKS));
       LoopbackServices.pause(paceMillis);
       poll(asked.poll());
       poll(asked.poll());
--- a/src/test/java/gladeknot/standin/LoopbackWorker.java
+++ b/src/test/java/gladeknot/standin/LoopbackWorker.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -20,7 +20,7 @@
       HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
 
   private final LoopbackServices services;
-  private final WorkerStandIn worker;
+  private final FakeWorker worker;
   private final String address;
   private int node;
   private boolean inFlight;
@@ -29,14 +29,14 @@
 
   LoopbackWorker(
       LoopbackServices services,
-      CloudStandIn.Machine machine,
+      FakeCloud.Machine machine,
       Optional<History> history,
       long taskMicros)
       throws IOException {
     this.services = services;
     this.address = services.listen(this::serve);
     this.worker =
-        new WorkerStandIn(
+        new FakeWorker(
             machine,
             address,
             LoopbackServices.LEASE_MICROS,
@@ -46,8 +46,8 @@
     node = Math.floorMod(machine.id.hashCode(), services.nodesForWorkers().size());
   }
 
-  private static WorkerStandIn.TaskListener listener(History history) {
-    return new WorkerStandIn.TaskListener() {
+  private static FakeWorker.TaskListener listener(History history) {
+    return new FakeWorker.TaskListener() {
       @Override
       public void started(String host, String task, long number, long micros) {
         history.started(host, task, number, micros);
@@ -73,19 +73,19 @@
   /** The cloud has taken the machine, with all that is on it. */
   synchronized void shutDown() {
     off = true;
-    for (WorkerStandIn.Task t : worker.live()) {
+    for (FakeWorker.Task t : worker.live()) {
       worker.taskListener.ended(host(), t.name, t.number, false, LoopbackServices.now());
     }
   }
 
-  private synchronized StateStandIn.Answer serve(String method, String uri, byte[] body)
+  private synchronized FakeStateStore.Answer serve(String method, String uri, byte[] body)
       throws IOException {
     if (off) {
       throw new IOException("the machine is off");
     }
     worker.advance(LoopbackServices.now());
     return uri.equals("/status")
-        ? new StateStandIn.Answer(200, worker.report())
+        ? new FakeStateStore.Answer(200, worker.report())
         : worker.orders(Json.object(body));
   }
 
--- a/src/test/java/gladeknot/standin/SimulatedCluster.java
+++ b/src/test/java/gladeknot/standin/SimulatedCluster.java
@@ -1,8 +1,8 @@
 package gladeknot.standin;
 
-import gladeknot.app.Core;
-import gladeknot.http.Json;
-import gladeknot.http.Outbox;
+import gladeknot.app.Controller;
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
 import gladeknot.peer.PeerMessage;
 import gladeknot.policy.Policy;
 import gladeknot.settings.Features;
@@ -56,7 +56,7 @@
   private record Event(long at, long order, Runnable run) {}
 
   private static final class Node {
-    Core core;
+    Controller core;
     boolean up;
     boolean paused;
     boolean cutFromState;
@@ -71,7 +71,7 @@
   }
 
   private static final class Machine {
-    WorkerStandIn worker;
+    FakeWorker worker;
     int node;
     long nextReport;
     boolean dead;
@@ -99,8 +99,8 @@
     final Set<Integer> done = new HashSet<>();
   }
 
-  public final StateStandIn state = new StateStandIn();
-  public final CloudStandIn cloud;
+  public final FakeStateStore state = new FakeStateStore();
+  public final FakeCloud cloud;
   private final Scale scale;
   private final int count;
   private final List<Node> nodes = new ArrayList<>();
@@ -121,7 +121,7 @@
 
   private final Features features;
   private final Map<Integer, Features> ownFeatures = new HashMap<>();
-  private final List<CloudStandIn.Machine> booting = new ArrayList<>();
+  private final List<FakeCloud.Machine> booting = new ArrayList<>();
   private long seenCloudChanges = -1;
   private final Set<String> enteredBefore = new HashSet<>();
   private final Set<String> givenBack = new HashSet<>();
@@ -193,7 +193,7 @@
     this.scale = scale;
     state.mostValueBytes = scale.valueBytes();
     this.count = count;
-    cloud = new CloudStandIn(scale.machines(), 3 * SECOND);
+    cloud = new FakeCloud(scale.machines(), 3 * SECOND);
     for (int i = 0; i < count; i++) {
       nodes.add(new Node());
       start(i);
@@ -236,7 +236,7 @@
   public void start(int i) {
     Node n = nodes.get(i);
     n.core =
-        new Core(
+        new Controller(
             settings(i, count, scale),
             ownFeatures.getOrDefault(i, features),
             Policy.of(""),
@@ -443,12 +443,12 @@
   /** A machine loses all that is on it and is back at once, counting from the start again. */
   public void reboot(int nth) {
     Machine m = machines.values().stream().filter(x -> !x.dead).skip(nth).findFirst().orElseThrow();
-    CloudStandIn.Machine of =
+    FakeCloud.Machine of =
         cloud.machines().stream()
             .filter(c -> c.id.equals(m.worker.host()))
             .findFirst()
             .orElseThrow();
-    m.worker = new WorkerStandIn(of, of.id + ":9", LEASE, this::runMicros, now);
+    m.worker = new FakeWorker(of, of.id + ":9", LEASE, this::runMicros, now);
     m.startsSeen = 0;
   }
 
@@ -506,13 +506,13 @@
 
   private void drain(int i) {
     Node n = nodes.get(i);
-    for (Outbox.Call call : n.core.outbox().takeCalls()) {
+    for (Outbox.Call call : n.core.outbox().drainCalls()) {
       if (fingerprint != null) {
         fingerprint.call(now, i, call);
       }
       send(i, call);
     }
-    for (PeerMessage message : n.core.outbox().takeMessages()) {
+    for (PeerMessage message : n.core.outbox().drainPeerMessages()) {
       peerBytes += (long) message.encode().length * (nodes.size() - 1);
       if (fingerprint != null) {
         fingerprint.message(now, i, message);
@@ -524,13 +524,13 @@
               2_000 + peerDelay,
               () -> {
                 if (other.up && !other.paused) {
-                  other.core.message(message);
+                  other.core.onPeerMessage(message);
                 }
               });
         }
       }
     }
-    for (Outbox.Answer answer : n.core.outbox().takeAnswers()) {
+    for (Outbox.Answer answer : n.core.outbox().drainAnswers()) {
       if (fingerprint != null) {
         fingerprint.answer(now, i, answer);
       }
@@ -559,7 +559,7 @@
       return;
     }
     if (toState && n.refused) {
-      later(2_000, () -> reply(i, life, call, new StateStandIn.Answer(503, Json.of())));
+      later(2_000, () -> reply(i, life, call, new FakeStateStore.Answer(503, Json.of())));
       return;
     }
     boolean commit = call.path().equals("/commit");
@@ -586,8 +586,8 @@
     later(
         delay,
         () -> {
-          StateStandIn.Answer served = serve(i, call);
-          StateStandIn.Answer answer = answerLost(i, call) ? null : served;
+          FakeStateStore.Answer served = serve(i, call);
+          FakeStateStore.Answer answer = answerLost(i, call) ? null : served;
           later(answer == null ? call.timeoutMicros() : 2_000, () -> reply(i, life, call, answer));
         });
   }
@@ -601,7 +601,7 @@
   }
 
   private void follow(int i, long life, Outbox.Call call, long until) {
-    long from = Long.parseLong(StateStandIn.query(call.path()).get("from"));
+    long from = Long.parseLong(FakeStateStore.query(call.path()).get("from"));
     boolean reachable =
         !outage
             && !nodes.get(i).cutFromState
@@ -609,7 +609,7 @@
             && !nodes.get(i).watchHangs
             && !cuts.lost(i, Way.STATE_ANSWERS);
     if (reachable && (state.changedSince(from) || now >= until)) {
-      StateStandIn.Answer answer = serve(i, call);
+      FakeStateStore.Answer answer = serve(i, call);
       later(3_000 + stateDelay, () -> reply(i, life, call, answer));
     } else if (now >= until + 4 * SECOND) {
       reply(i, life, call, null);
@@ -637,14 +637,14 @@
     return Json.bytes(transaction);
   }
 
-  private StateStandIn.Answer serve(int i, Outbox.Call call) {
+  private FakeStateStore.Answer serve(int i, Outbox.Call call) {
     try {
       if (call.address().startsWith("state")) {
         if (call.path().equals("/commit")) {
           return state.serve(call.method(), call.path(), checked(i, call.body()));
         }
         return outage
-            ? new StateStandIn.Answer(503, Json.of())
+            ? new FakeStateStore.Answer(503, Json.of())
             : state.serve(call.method(), call.path(), call.body());
       }
       if (call.address().startsWith("cloud")) {
@@ -661,14 +661,14 @@
         return null;
       }
       return call.path().equals("/status")
-          ? new StateStandIn.Answer(200, m.worker.report())
+          ? new FakeStateStore.Answer(200, m.worker.report())
           : m.worker.orders(Json.object(call.body()));
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private void reply(int i, long life, Outbox.Call call, StateStandIn.Answer answer) {
+  private void reply(int i, long life, Outbox.Call call, FakeStateStore.Answer answer) {
     Node n = nodes.get(i);
     if (n.life != life || !n.up) {
       return;
@@ -702,7 +702,7 @@
     long id = n.nextRequest++;
     n.asked.put(id, then);
     n.core.tick(now, now);
-    n.core.request(id, method, path, body == null ? new byte[0] : Json.bytes(body));
+    n.core.onRequest(id, method, path, body == null ? new byte[0] : Json.bytes(body));
     drain(i);
   }
 
@@ -712,7 +712,7 @@
       seenCloudChanges = cloud.changes();
       booting.clear();
       Set<String> rented = new HashSet<>();
-      for (CloudStandIn.Machine m : cloud.machines()) {
+      for (FakeCloud.Machine m : cloud.machines()) {
         rented.add(m.id);
         if (!machines.containsKey(m.id)) {
           booting.add(m);
@@ -720,10 +720,10 @@
       }
       machines.keySet().retainAll(rented);
     }
-    for (CloudStandIn.Machine m : List.copyOf(booting)) {
+    for (FakeCloud.Machine m : List.copyOf(booting)) {
       if (m.upMicros <= now) {
         Machine machine = new Machine();
-        machine.worker = new WorkerStandIn(m, m.id + ":9", LEASE, this::runMicros, now);
+        machine.worker = new FakeWorker(m, m.id + ":9", LEASE, this::runMicros, now);
         machine.node = random.nextInt(nodes.size());
         machines.put(m.id, machine);
         booting.remove(m);
@@ -748,7 +748,7 @@
   private void report(Machine m) {
     long sent = now;
     long tenure = m.worker.tenure();
-    WorkerStandIn life = m.worker;
+    FakeWorker life = m.worker;
     Map<String, Object> report = m.worker.report();
     Node n = nodes.get(m.node);
     m.waiting = true;
@@ -1071,7 +1071,7 @@
   public Map<String, Integer> zones(String job) {
     Map<String, Integer> zones = new TreeMap<>();
     for (Machine m : machines.values()) {
-      for (WorkerStandIn.Task t : m.worker.live()) {
+      for (FakeWorker.Task t : m.worker.live()) {
         if (t.name.startsWith(job + "/")) {
           zones.merge(m.worker.zone(), 1, Integer::sum);
         }
@@ -1103,7 +1103,7 @@
         // It will drop them before anything else when it goes on.
         continue;
       }
-      for (WorkerStandIn.Task t : m.worker.live()) {
+      for (FakeWorker.Task t : m.worker.live()) {
         count++;
         String other = on.put(t.name, m.worker.host());
         if (other != null) {
@@ -1171,7 +1171,7 @@
     Map<String, Long> open = new TreeMap<>();
     Map<String, Long> mine = new TreeMap<>();
     for (Machine m : machines.values()) {
-      List<WorkerStandIn.Task> tasks = m.dead ? List.of() : m.worker.live();
+      List<FakeWorker.Task> tasks = m.dead ? List.of() : m.worker.live();
       long ofJob = tasks.stream().filter(t -> t.name.startsWith(id + "/")).count();
       live += (int) ofJob;
       all += tasks.size();
--- a/src/test/java/gladeknot/standin/StandInServer.java
+++ b/src/test/java/gladeknot/standin/StandInServer.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.URI;
--- a/src/test/java/gladeknot/state/TokenBucketTest.java
+++ b/src/test/java/gladeknot/state/TokenBucketTest.java
@@ -10,7 +10,7 @@
     TokenBucket tokens = new TokenBucket(10, 10);
     int taken = 0;
     for (long now = 0; now <= 5_000_000; now += 10_000) {
-      while (tokens.take(1, 0, now)) {
+      while (tokens.tryAcquire(1, 0, now)) {
         taken++;
       }
     }
@@ -22,12 +22,12 @@
   void whatIsKeptForUrgentCallsStays() {
     TokenBucket tokens = new TokenBucket(10, 10);
     int taken = 0;
-    while (tokens.take(1, 4, 0)) {
+    while (tokens.tryAcquire(1, 4, 0)) {
       taken++;
     }
     assertEquals(6, taken);
-    tokens.force(1, 0);
-    assertEquals(false, tokens.take(4, 0, 0));
-    assertEquals(true, tokens.take(3, 0, 0));
+    tokens.forceAcquire(1, 0);
+    assertEquals(false, tokens.tryAcquire(4, 0, 0));
+    assertEquals(true, tokens.tryAcquire(3, 0, 0));
   }
 }
--- a/src/test/java/gladeknot/state/TransactionLimitsTest.java
+++ b/src/test/java/gladeknot/state/TransactionLimitsTest.java
@@ -16,31 +16,31 @@
   void theSmallerCountOnceAllAreCurrentOrSomethingWasRefused() {
     for (boolean refused : new boolean[] {false, true}) {
       TransactionLimits limits = limits(8192, 2048, 4);
-      assertEquals(8192, limits.valueBytes());
-      assertEquals(16, limits.operations());
+      assertEquals(8192, limits.maxValueBytes());
+      assertEquals(16, limits.maxOperations());
       if (refused) {
-        limits.refusedForSize();
+        limits.onSizeRejection();
       } else {
-        limits.allMembersCurrent();
+        limits.onAllMembersUpgraded();
       }
-      assertEquals(2048, limits.valueBytes());
-      assertEquals(4, limits.operations());
-      assertEquals(16, limits.conditions(limits.operations()));
+      assertEquals(2048, limits.maxValueBytes());
+      assertEquals(4, limits.maxOperations());
+      assertEquals(16, limits.maxConditions(limits.maxOperations()));
     }
   }
 
   @Test
   void largerLimitsToComeChangeNothing() {
     TransactionLimits limits = limits(2048, 8192, 64);
-    limits.allMembersCurrent();
-    assertEquals(2048, limits.valueBytes());
-    assertEquals(16, limits.operations());
-    assertEquals(1, limits.wantedPartSplit());
+    limits.onAllMembersUpgraded();
+    assertEquals(2048, limits.maxValueBytes());
+    assertEquals(16, limits.maxOperations());
+    assertEquals(1, limits.targetSegmentSplit());
   }
 
   @Test
   void partsAreSplitByTheRatioOfTheValues() {
-    assertEquals(4, limits(8192, 2048, 4).wantedPartSplit());
-    assertEquals(3, limits(8192, 3000, 4).wantedPartSplit());
+    assertEquals(4, limits(8192, 2048, 4).targetSegmentSplit());
+    assertEquals(3, limits(8192, 3000, 4).targetSegmentSplit());
   }
 }
--- /dev/null
+++ b/src/test/java/gladeknot/tasks/AttemptCodecTest.java
@@ -0,0 +1,58 @@
+package gladeknot.tasks;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import gladeknot.tasks.AttemptCodec.StoredAttempt;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Attempts come back as they were, and the compact form is short. */
+class AttemptCodecTest {
+  private static final List<List<StoredAttempt>> CASES =
+      List.of(
+          List.of(),
+          List.of(new StoredAttempt(0, 4, "vm-000231")),
+          List.of(
+              new StoredAttempt(7, 1L << 40, "vm-000231"),
+              new StoredAttempt(99_999, 5, "vm-000002")),
+          List.of(new StoredAttempt(1, 4, "vm-1"), new StoredAttempt(2, 4, "vm-22")),
+          List.of(new StoredAttempt(1, 4, "host"), new StoredAttempt(2, 4, "node")),
+          List.of(new StoredAttempt(1, 4, "a%d-007"), new StoredAttempt(2, 3, "a%d-008")));
+
+  @Test
+  void bothFormsComeBack() {
+    for (List<StoredAttempt> attempts : CASES) {
+      assertEquals(attempts, AttemptCodec.read(AttemptCodec.plain(attempts)));
+      assertEquals(attempts, AttemptCodec.read(AttemptCodec.compact(attempts)));
+    }
+  }
+
+  /** As the first version wrote it. */
+  @Test
+  void thePlainFormIsAsItAlwaysWas() {
+    String stored = "3:16:vm-000231,11:19:vm-000007";
+    List<StoredAttempt> attempts =
+        List.of(new StoredAttempt(3, 16, "vm-000231"), new StoredAttempt(11, 19, "vm-000007"));
+    assertEquals(attempts, AttemptCodec.read(stored));
+    assertEquals(stored, AttemptCodec.plain(attempts));
+  }
+
+  @Test
+  void theCompactFormTakesAThird() {
+    List<StoredAttempt> attempts = new ArrayList<>();
+    for (int i = 0; i < 50; i++) {
+      attempts.add(
+          new StoredAttempt(i, 1000 + 3 * i, String.format("vm-%06d", 100 + i * 37 % 600)));
+    }
+    int plain = AttemptCodec.plain(attempts).length();
+    assertTrue(AttemptCodec.compact(attempts).length() * 3 < plain);
+  }
+
+  @Test
+  void aCutRecordIsRefused() {
+    assertThrows(IllegalArgumentException.class, () -> AttemptCodec.read("~vm-:6:gA"));
+  }
+}
--- a/src/test/java/gladeknot/placement/RecordedAttempts.java
+++ b/src/test/java/gladeknot/tasks/RecordedAttempts.java
@@ -1,4 +1,4 @@
-package gladeknot.placement;
+package gladeknot.tasks;
 
 import java.util.List;
 
@@ -14,7 +14,7 @@
   /** The attempts in one job's record of one slice. */
   public static List<Recorded> of(String job, String record) {
     String attempts = record.split("\\|", -1)[ATTEMPTS_FIELD];
-    return AttemptsCodec.read(attempts).stream()
+    return AttemptCodec.read(attempts).stream()
         .map(a -> new Recorded(job + "/" + a.task(), a.number(), a.host()))
         .toList();
   }
--- a/src/test/java/gladeknot/placement/SliceTest.java
+++ b/src/test/java/gladeknot/tasks/SliceTest.java
@@ -1,4 +1,4 @@
-package gladeknot.placement;
+package gladeknot.tasks;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
@@ -16,20 +16,20 @@
 
 /** What a slice's record keeps, and how little room it takes. */
 class SliceTest {
-  private static final RecordLayout LAYOUT = new RecordLayout(() -> 1);
+  private static final SegmentLayout LAYOUT = new SegmentLayout(() -> 1);
 
   private static Slice slice(int tasks) throws JobSpec.MalformedJobException {
     JobSpec spec = JobSpec.parse(SimulatedCluster.job("req-1", "array", tasks));
     Slice s = new Slice(LAYOUT, false, 1, 3, "req-1");
-    s.usage(spec);
-    s.assigned.set(0, tasks);
+    s.setResources(spec);
+    s.assigned().set(0, tasks);
     return s;
   }
 
   private static Slice again(String record) {
     Slice s = new Slice(LAYOUT, false, 1, 3, "req-1");
-    for (Attempt a : s.read(record, 0)) {
-      s.out.put(a.task(), a);
+    for (Attempt a : s.decode(record, 0)) {
+      s.attemptsByTask().put(a.task(), a);
     }
     return s;
   }
@@ -37,17 +37,19 @@
   @Test
   void comesBackAsItWas() throws JobSpec.MalformedJobException {
     Slice s = slice(20);
-    s.done.set(3, 9);
-    long number = s.nextNumber();
-    s.out.put(11, new Attempt(s, 11, number, "vm-000231", 0));
-    Slice read = again(s.record());
-    assertEquals(s.assigned, read.assigned);
-    assertEquals(s.done, read.done);
-    assertEquals("req-1/11 attempt " + number + " on vm-000231", read.out.get(11).toString());
-    assertTrue(read.out.get(11).committed() && read.out.get(11).sent);
+    s.done().set(3, 9);
+    long number = s.nextAttemptNumber();
+    s.attemptsByTask().put(11, new Attempt(s, 11, number, "vm-000231", 0));
+    Slice read = again(s.encode());
+    assertEquals(s.assigned(), read.assigned());
+    assertEquals(s.done(), read.done());
+    assertEquals(
+        "req-1/11 attempt " + number + " on vm-000231", read.attemptsByTask().get(11).toString());
+    assertTrue(
+        read.attemptsByTask().get(11).committed() && read.attemptsByTask().get(11).runSent());
     // Numbers never repeat, whoever goes on.
-    assertTrue(read.nextNumber() > number);
-    assertEquals(s.record(), read.record().replace("|" + read.counter + "|", "|1|"));
+    assertTrue(read.nextAttemptNumber() > number);
+    assertEquals(s.encode(), read.encode().replace("|" + read.attemptCounter() + "|", "|1|"));
   }
 
   /** Done slices outnumber the others while their jobs go on, and filled a part once. */
@@ -55,25 +57,25 @@
   void aDoneSliceTakesLittleHoweverScatteredItsTasks() throws JobSpec.MalformedJobException {
     Slice s = slice(250);
     for (int t = 0; t < 250; t += 2) {
-      s.assigned.clear(t);
+      s.assigned().clear(t);
     }
-    int open = s.record().length();
-    s.done.or(s.assigned);
-    assertTrue(s.record().length() <= open + 1);
-    assertEquals(s.assigned, again(s.record()).done);
+    int open = s.encode().length();
+    s.done().or(s.assigned());
+    assertTrue(s.encode().length() <= open + 1);
+    assertEquals(s.assigned(), again(s.encode()).done());
   }
 
   /** Slices of one old part go to as many new ones as the mark says, and to no others. */
   @Test
   void aSplitPartsPiecesAreItsOwn() {
-    RecordLayout split = new RecordLayout(() -> 4);
+    SegmentLayout split = new SegmentLayout(() -> 4);
     Map<String, Set<String>> pieces = new TreeMap<>();
     for (int i = 0; i < 1000; i++) {
       String job = "req-" + (100_000 + 37 * i);
       for (boolean whole : List.of(true, false)) {
         String piece = split.key(2, whole, job);
         pieces.computeIfAbsent(LAYOUT.key(2, whole, job), k -> new TreeSet<>()).add(piece);
-        assertEquals(whole, RecordLayout.isWhole(piece));
+        assertEquals(whole, SegmentLayout.isWhole(piece));
       }
     }
     assertEquals(
@@ -91,22 +93,23 @@
   @Test
   void aSlicesKeyIsWorkedOutOnceALayout() {
     int[] split = {1};
-    Slice s = new Slice(new RecordLayout(() -> split[0]), false, 1, 3, "req-1");
-    String before = s.wantedKey();
-    assertSame(before, s.wantedKey());
+    Slice s = new Slice(new SegmentLayout(() -> split[0]), false, 1, 3, "req-1");
+    String before = s.targetKey();
+    assertSame(before, s.targetKey());
     split[0] = 4;
-    assertTrue(s.wantedKey().startsWith("g/sl/1/a16-"));
-    assertSame(s.wantedKey(), s.wantedKey());
+    assertTrue(s.targetKey().startsWith("g/sl/1/a16-"));
+    assertSame(s.targetKey(), s.targetKey());
   }
 
   @Test
   void aClaimLeavesTheRest() throws JobSpec.MalformedJobException {
     Slice s = slice(10);
-    s.done.set(0);
+    s.done().set(0);
     BitSet left = new BitSet();
     left.set(0, 4);
-    Slice read = again(s.record(left));
-    assertEquals(left, read.assigned);
-    assertEquals(List.of(1, 2, 3), read.assigned.stream().filter(read::isTodo).boxed().toList());
+    Slice read = again(s.encode(left));
+    assertEquals(left, read.assigned());
+    assertEquals(
+        List.of(1, 2, 3), read.assigned().stream().filter(read::isPending).boxed().toList());
   }
 }
--- a/src/test/java/gladeknot/tracing/TracingTest.java
+++ b/src/test/java/gladeknot/tracing/TracingTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import gladeknot.tracing.TaskTracer.AttemptId;
 import io.opentelemetry.sdk.trace.SdkTracerProvider;
 import io.opentelemetry.sdk.trace.export.SimpleSpanProcessor;
@@ -53,9 +53,9 @@
               tracer.now(1_500_000);
               tracer.accepted("req-a");
               tracer.committed(attempt, "vm-1", 2, 9);
-              tracer.ordered(attempt);
+              tracer.runSent(attempt);
               tracer.now(2_500_000);
-              tracer.reported(attempt, "running");
+              tracer.phaseObserved(attempt, "running");
               tracer.now(4_000_000);
               tracer.ended(attempt, "done");
               tracer.ended(attempt, "done");
@@ -89,7 +89,7 @@
               for (int i = 0; i < 4; i++) {
                 tracer.committed(new AttemptId("req-b", "req-b/" + i, 1), "vm-1", i % 2, 3);
               }
-              tracer.lost(1);
+              tracer.shardReleased(1);
             });
     List<Object> causes =
         spans.stream().map(s -> Json.map(s.get("attributes")).get("end.cause")).toList();
