--- a/src/test/java/gladeknot/workers/WorkerRegistryTest.java
+++ b/src/test/java/gladeknot/workers/WorkerRegistryTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import gladeknot.state.StateStore;
 import java.util.List;
 import java.util.Map;
@@ -33,29 +33,29 @@
   }
 
   @Test
-  void aMachineMovesAndItsSessionIsForgotten() throws Report.MalformedJobException {
+  void aMachineMovesAndItsSessionIsForgotten() throws Heartbeat.MalformedHeartbeatException {
     WorkerRegistry book = new WorkerRegistry();
     StateStore.Entry first = entry("1", record(0), "2", record(0));
-    book.changed(KEY, null, first);
+    book.onChange(KEY, null, first);
     Worker w = book.get("vm-000231");
-    w.report(report(1, 4, 7), 100);
-    book.changed(KEY, first, entry("1", record(2), "2", record(0)));
+    w.onHeartbeat(report(1, 4, 7), 100);
+    book.onChange(KEY, first, entry("1", record(2), "2", record(0)));
     assertEquals(2, w.shard());
-    assertNull(w.report());
-    assertEquals(List.of(w), List.copyOf(book.of(2)));
-    assertEquals(1, book.of(0).size());
+    assertNull(w.heartbeat());
+    assertEquals(List.of(w), List.copyOf(book.inShard(2)));
+    assertEquals(1, book.inShard(0).size());
   }
 
   @Test
   void whatWasGivenBackStaysKnownAsThat() {
     WorkerRegistry book = new WorkerRegistry();
     StateStore.Entry first = entry("1", record(0));
-    book.changed(KEY, null, first);
-    book.changed(KEY, first, entry("1", Worker.RELEASED));
+    book.onChange(KEY, null, first);
+    book.onChange(KEY, first, entry("1", Worker.RELEASED));
     assertNull(book.get("vm-000231"));
-    assertTrue(book.of(0).isEmpty());
-    assertTrue(book.released("vm-000231"));
-    assertFalse(book.released("vm-000232"));
+    assertTrue(book.inShard(0).isEmpty());
+    assertTrue(book.wasReleased("vm-000231"));
+    assertFalse(book.wasReleased("vm-000232"));
   }
 
   /**
@@ -63,47 +63,47 @@
    * answer that did not must not keep a task from being started elsewhere.
    */
   @Test
-  void anAnswerThatWasLostDoesNotCount() throws Report.MalformedJobException {
+  void anAnswerThatWasLostDoesNotCount() throws Heartbeat.MalformedHeartbeatException {
     WorkerRegistry book = new WorkerRegistry();
-    book.changed(KEY, null, entry("1", record(0)));
+    book.onChange(KEY, null, entry("1", record(0)));
     Worker w = book.get("vm-000231");
     long never = w.answeredMicros();
-    w.report(report(1, 1, 0), 1_000);
-    w.answered(1_100, 9);
+    w.onHeartbeat(report(1, 1, 0), 1_000);
+    w.onAnswered(1_100, 9);
     assertEquals(1_100, w.answeredMicros());
-    w.report(report(1, 2, 0), 5_000);
+    w.onHeartbeat(report(1, 2, 0), 5_000);
     assertEquals(never, w.answeredMicros());
-    w.answered(5_100, 9);
-    w.report(report(1, 3, 9), 7_000);
+    w.onAnswered(5_100, 9);
+    w.onHeartbeat(report(1, 3, 9), 7_000);
     assertEquals(5_100, w.answeredMicros());
     // Under a higher term nothing is known of the older answer but that it was good in its time.
-    w.answered(7_100, 12);
-    w.report(report(1, 4, 9), 9_000);
+    w.onAnswered(7_100, 12);
+    w.onHeartbeat(report(1, 4, 9), 9_000);
     assertEquals(5_100, w.answeredMicros());
   }
 
   @Test
-  void aSessionThatOutlastsALeaseHasBeenAnswered() throws Report.MalformedJobException {
+  void aSessionThatOutlastsALeaseHasBeenAnswered() throws Heartbeat.MalformedHeartbeatException {
     WorkerRegistry book = new WorkerRegistry();
-    book.changed(KEY, null, entry("1", record(0)));
+    book.onChange(KEY, null, entry("1", record(0)));
     Worker w = book.get("vm-000231");
-    w.report(report(3, 1, 9), 0);
-    w.doesNotHear(0);
-    w.report(report(3, 2, 9), 10);
-    w.judgeHearing(10, 50);
-    assertTrue(w.deaf() && !w.surelyDeaf());
-    w.report(report(3, 3, 9), 60);
-    w.judgeHearing(60, 50);
-    assertFalse(w.deaf());
-    w.doesNotHear(60);
-    w.report(report(4, 4, 9), 80);
-    w.judgeHearing(80, 50);
-    assertTrue(w.surelyDeaf());
+    w.onHeartbeat(report(3, 1, 9), 0);
+    w.markUnreachable(0);
+    w.onHeartbeat(report(3, 2, 9), 10);
+    w.updateReachability(10, 50);
+    assertTrue(w.unreachable() && !w.confirmedUnreachable());
+    w.onHeartbeat(report(3, 3, 9), 60);
+    w.updateReachability(60, 50);
+    assertFalse(w.unreachable());
+    w.markUnreachable(60);
+    w.onHeartbeat(report(4, 4, 9), 80);
+    w.updateReachability(80, 50);
+    assertTrue(w.confirmedUnreachable());
   }
 
-  private static Report report(long tenure, long tick, long token)
-      throws Report.MalformedJobException {
-    return Report.parse(
+  private static Heartbeat report(long tenure, long tick, long token)
+      throws Heartbeat.MalformedHeartbeatException {
+    return Heartbeat.parse(
         Map.of(
             "host",
             "vm-000231",
--- a/tools/fingerprints.sh
+++ b/tools/fingerprints.sh
@@ -9,7 +9,9 @@
 cd "$(dirname "$0")/.."
 recorded=src/test/fingerprints/clusters.txt
 measured=$PWD/target/fingerprints.txt
-tests='SimulatedClusterTest,MeetingsTest,PipelinesTest,UpgradeTest,PartialCutsTest,LoadTest,RequestsTest,UnlimitedTeamTest,CheckerTest,RecalledMachinesTest,HomeSelectorTest'
+# Property tests draw their own schedules, and have no cases to compare.
+tests=$(grep -rl 'new SimulatedCluster(' src/test/java --include='*Test.java' |
+  grep -v PropertiesTest | xargs -n 1 basename -s .java | paste -sd, -)
 mkdir -p target "$(dirname "$recorded")"
 rm -f "$measured"
 mvn -q -B test -Dtest="${FINGERPRINT_TESTS:-$tests}" -Dgladeknot.fingerprints="$measured" \
