--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -23,6 +23,8 @@
 import gladeknot.scheduling.Scheduler;
 import gladeknot.settings.Features;
 import gladeknot.settings.Settings;
+import gladeknot.state.Change;
+import gladeknot.state.ChangeListener;
 import gladeknot.state.StateStore;
 import gladeknot.tasks.SegmentLayout;
 import gladeknot.tasks.SliceRegistry;
@@ -41,7 +43,7 @@
  * The whole controller as a state machine: time, requests and replies go in, calls and answers come
  * out of its {@link Outbox}.
  */
-public final class Controller implements StateStore.Listener {
+public final class Controller implements ChangeListener {
   private final Outbox outbox = new Outbox();
   private final Optional<ConnectivityMonitor> connectivity;
   private final StateStore stateStore;
@@ -248,20 +250,20 @@
    * records are read by what is known of their jobs, then what the records and other keys say.
    */
   @Override
-  public void onChanges(List<StateStore.Change> changes) {
-    for (StateStore.Change change : changes) {
+  public void onChanges(List<Change> changes) {
+    for (Change change : changes) {
       if (change.key().startsWith(SegmentLayout.KEY_PREFIX)) {
         slices.onSegmentChange(change);
       } else if (change.key().equals(StorageFormat.key())) {
         membership.format().onChange();
       }
     }
-    for (StateStore.Change change : changes) {
+    for (Change change : changes) {
       if (change.key().startsWith(Job.KEY_PREFIX)) {
         jobs.onChange(change.key(), change.after());
       }
     }
-    for (StateStore.Change change : changes) {
+    for (Change change : changes) {
       if (change.key().startsWith(SegmentLayout.KEY_PREFIX)) {
         scheduler.onSegmentChange(change.key());
       } else if (change.key().startsWith(Worker.KEY_PREFIX)) {
--- a/src/main/java/gladeknot/commit/TransactionBatch.java
+++ b/src/main/java/gladeknot/commit/TransactionBatch.java
@@ -2,8 +2,8 @@
 
 import gladeknot.commit.TransactionCommitter.FieldMutation;
 import gladeknot.commit.TransactionCommitter.KeyMutation;
+import gladeknot.state.Mutation;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Mutation;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.SegmentLayout;
 import gladeknot.tasks.Slice;
--- a/src/main/java/gladeknot/commit/TransactionCommitter.java
+++ b/src/main/java/gladeknot/commit/TransactionCommitter.java
@@ -6,9 +6,10 @@
 import gladeknot.jobs.JobRegistry;
 import gladeknot.membership.Membership;
 import gladeknot.membership.StorageFormat;
+import gladeknot.state.CommitOutcome;
+import gladeknot.state.CommitStatus;
+import gladeknot.state.Mutation;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.CommitOutcome;
-import gladeknot.state.StateStore.Mutation;
 import gladeknot.state.TransactionLimits;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.SegmentLayout;
@@ -593,7 +594,7 @@
         batch.segments.keySet().forEach(this::refreshSegment);
       }
       default -> {
-        if (outcome.status() == StateStore.CommitStatus.REJECTED) {
+        if (outcome.status() == CommitStatus.REJECTED) {
           // Too large in some way: never repeated as it is.
           shrunk = Math.max(MIN_SHRUNK, shrunk / 2);
         }
--- a/src/main/java/gladeknot/jobs/Job.java
+++ b/src/main/java/gladeknot/jobs/Job.java
@@ -1,6 +1,7 @@
 package gladeknot.jobs;
 
 import gladeknot.json.Json;
+import gladeknot.state.Entry;
 import gladeknot.state.StateStore;
 import java.util.Map;
 
@@ -70,7 +71,7 @@
   }
 
   /** Reads a job's key. */
-  static Job decode(String id, StateStore.Entry entry) {
+  static Job decode(String id, Entry entry) {
     Map<String, Object> data = entry.data();
     String phase = Json.text(data, FIELD_PHASE);
     if (phase != null) {
--- a/src/main/java/gladeknot/jobs/JobRegistry.java
+++ b/src/main/java/gladeknot/jobs/JobRegistry.java
@@ -1,6 +1,6 @@
 package gladeknot.jobs;
 
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -86,7 +86,7 @@
   }
 
   /** Takes in a change of a job's key. */
-  public void onChange(String key, StateStore.Entry entry) {
+  public void onChange(String key, Entry entry) {
     String id = key.substring(Job.KEY_PREFIX.length());
     changeCount++;
     Job before = active.remove(id);
--- a/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
+++ b/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
@@ -8,7 +8,7 @@
 import gladeknot.membership.Membership;
 import gladeknot.outbox.Outbox;
 import gladeknot.settings.Settings;
-import gladeknot.state.StateStore.Mutation;
+import gladeknot.state.Mutation;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.RuntimeEstimates;
 import gladeknot.tasks.Slice;
--- a/src/main/java/gladeknot/membership/LeaseDelegations.java
+++ b/src/main/java/gladeknot/membership/LeaseDelegations.java
@@ -2,9 +2,10 @@
 
 import gladeknot.json.Json;
 import gladeknot.settings.Settings;
+import gladeknot.state.CommitStatus;
+import gladeknot.state.Entry;
+import gladeknot.state.Mutation;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.CommitStatus;
-import gladeknot.state.StateStore.Mutation;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -83,7 +84,7 @@
 
   /** Who is delegate for a shard's present term and alive; null if there is none but ourselves. */
   String delegate(int shard, long term) {
-    StateStore.Entry entry = stateStore.get(key(shard));
+    Entry entry = stateStore.get(key(shard));
     if (entry == null || Json.num(entry.data(), FIELD_TERM, 0) != term) {
       return null;
     }
--- a/src/main/java/gladeknot/membership/Membership.java
+++ b/src/main/java/gladeknot/membership/Membership.java
@@ -6,6 +6,7 @@
 import gladeknot.json.Json;
 import gladeknot.policy.Policy;
 import gladeknot.settings.Settings;
+import gladeknot.state.Entry;
 import gladeknot.state.StateStore;
 import java.util.List;
 import java.util.Set;
@@ -163,7 +164,7 @@
   }
 
   static long term(StateStore stateStore, int shard) {
-    StateStore.Entry entry = stateStore.get(shardKey(shard));
+    Entry entry = stateStore.get(shardKey(shard));
     return entry == null ? 0 : Json.num(entry.data(), FIELD_TERM, 0);
   }
 
@@ -175,7 +176,7 @@
 
   /** The owner of a shard by its key, alive or not; null if there is none. */
   public String owner(int shard) {
-    StateStore.Entry entry = stateStore.get(shardKey(shard));
+    Entry entry = stateStore.get(shardKey(shard));
     return entry == null ? null : Json.text(entry.data(), FIELD_OWNER);
   }
 
@@ -186,7 +187,7 @@
 
   /** The owner's incarnation by a shard's key. */
   public long incarnation(int shard) {
-    StateStore.Entry entry = stateStore.get(shardKey(shard));
+    Entry entry = stateStore.get(shardKey(shard));
     return entry == null ? 0 : Json.num(entry.data(), FIELD_INCARNATION, 0);
   }
 
--- a/src/main/java/gladeknot/membership/ShardTransfers.java
+++ b/src/main/java/gladeknot/membership/ShardTransfers.java
@@ -5,10 +5,11 @@
 import gladeknot.connectivity.FailoverAdvisor;
 import gladeknot.json.Json;
 import gladeknot.settings.Settings;
+import gladeknot.state.CommitOutcome;
+import gladeknot.state.CommitStatus;
+import gladeknot.state.Entry;
+import gladeknot.state.Mutation;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.CommitOutcome;
-import gladeknot.state.StateStore.CommitStatus;
-import gladeknot.state.StateStore.Mutation;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -95,7 +96,7 @@
 
   /** Looks at one shard; returns whether a transaction is under way, or waits for tokens. */
   private boolean moveShard(int shard) {
-    StateStore.Entry entry = stateStore.get(Membership.shardKey(shard));
+    Entry entry = stateStore.get(Membership.shardKey(shard));
     String owner = entry == null ? null : Json.text(entry.data(), Membership.FIELD_OWNER);
     boolean mine = settings.node().equals(owner);
     boolean thisLife =
@@ -119,18 +120,18 @@
         && takeOver(shard, entry, Map.of(StateLease.key(owner), 0L));
   }
 
-  private boolean yieldedToUs(int shard, StateStore.Entry entry) {
+  private boolean yieldedToUs(int shard, Entry entry) {
     long incarnation = Json.num(entry.data(), Membership.FIELD_INCARNATION, 0);
     return advisor.yieldedToThisNode(shard, incarnation, Membership.term(stateStore, shard));
   }
 
-  private boolean takeOver(int shard, StateStore.Entry entry, Map<String, Long> alsoIf) {
+  private boolean takeOver(int shard, Entry entry, Map<String, Long> alsoIf) {
     take(shard, entry, settings.node(), lease.incarnation(), alsoIf);
     return true;
   }
 
   /** A shard that is ours by its key: settles what is in doubt, or gives it to who serves it. */
-  private boolean keepOrGive(int shard, StateStore.Entry entry) {
+  private boolean keepOrGive(int shard, Entry entry) {
     shards.look(shard);
     if (!shards.contains(shard)) {
       gain(shard);
@@ -146,7 +147,7 @@
     if (heir == null && mayGoHome(shard)) {
       heir = nodes.get(shard);
     }
-    StateStore.Entry heirAlive = heir == null ? null : stateStore.get(StateLease.key(heir));
+    Entry heirAlive = heir == null ? null : stateStore.get(StateLease.key(heir));
     if (heirAlive == null) {
       return false;
     }
@@ -179,13 +180,12 @@
     return nowMicros - lapsedSince[shard] >= wait + advisor.failoverDelayMicros(shard);
   }
 
-  private boolean take(
-      int shard, StateStore.Entry entry, String to, long inc, Map<String, Long> alsoIf) {
+  private boolean take(int shard, Entry entry, String to, long inc, Map<String, Long> alsoIf) {
     if (!authority.permits(ControlAction.TRANSFER_SHARD, shard)
         || !stateStore.tryAcquireWrites(2, 0)) {
       return false;
     }
-    StateStore.Entry counter = stateStore.get(TERM);
+    Entry counter = stateStore.get(TERM);
     long drawn = counter == null ? 0 : Json.num(counter.data(), FIELD_COUNTER, 0);
     long term = shards.nextTerm(shard, drawn);
     Map<String, Long> conditions = new LinkedHashMap<>(alsoIf);
@@ -247,7 +247,7 @@
   }
 
   private boolean stillMine(int shard) {
-    StateStore.Entry entry = stateStore.get(Membership.shardKey(shard));
+    Entry entry = stateStore.get(Membership.shardKey(shard));
     return entry != null
         && settings.node().equals(Json.text(entry.data(), Membership.FIELD_OWNER))
         && Json.num(entry.data(), Membership.FIELD_INCARNATION, 0) == lease.incarnation();
--- a/src/main/java/gladeknot/membership/StateLease.java
+++ b/src/main/java/gladeknot/membership/StateLease.java
@@ -3,9 +3,10 @@
 import gladeknot.connectivity.FailoverAdvisor;
 import gladeknot.json.Json;
 import gladeknot.settings.Settings;
+import gladeknot.state.CommitStatus;
+import gladeknot.state.Entry;
+import gladeknot.state.Mutation;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.CommitStatus;
-import gladeknot.state.StateStore.Mutation;
 import java.util.List;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -101,7 +102,7 @@
 
   /** Whether the liveness key is there under the present lease, as far as the copy tells. */
   boolean announced() {
-    StateStore.Entry entry = stateStore.get(ownKey);
+    Entry entry = stateStore.get(ownKey);
     return grant != 0
         && entry != null
         && Json.num(entry.data(), Membership.FIELD_INCARNATION, 0) == grant;
--- a/src/main/java/gladeknot/membership/StorageFormat.java
+++ b/src/main/java/gladeknot/membership/StorageFormat.java
@@ -2,8 +2,9 @@
 
 import gladeknot.json.Json;
 import gladeknot.settings.Settings;
+import gladeknot.state.Entry;
+import gladeknot.state.Mutation;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Mutation;
 import gladeknot.state.TransactionLimits;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -43,7 +44,7 @@
   private final boolean firstMember;
   private final StateStore stateStore;
   private final TransactionLimits limits;
-  private StateStore.Entry seen;
+  private Entry seen;
   private int segmentSplit = 1;
   private boolean writing;
   private boolean segmentFull;
@@ -143,16 +144,16 @@
   private Map<String, Long> allCurrent() {
     Map<String, Long> stamps = new LinkedHashMap<>();
     for (String node : nodes) {
-      StateStore.Entry alive = stateStore.get(StateLease.key(node));
+      Entry alive = stateStore.get(StateLease.key(node));
       if (alive == null || Json.num(alive.data(), FIELD_FORMAT, 1) < ANNOUNCED) {
         return null;
       }
       stamps.put(StateLease.key(node), alive.modRevision());
     }
     for (int shard = 0; shard < nodes.size(); shard++) {
-      StateStore.Entry entry = stateStore.get(Membership.shardKey(shard));
+      Entry entry = stateStore.get(Membership.shardKey(shard));
       String owner = entry == null ? null : Json.text(entry.data(), Membership.FIELD_OWNER);
-      StateStore.Entry alive = owner == null ? null : stateStore.get(StateLease.key(owner));
+      Entry alive = owner == null ? null : stateStore.get(StateLease.key(owner));
       if (alive == null || incarnation(entry) != incarnation(alive)) {
         return null;
       }
@@ -161,7 +162,7 @@
     return stamps;
   }
 
-  private static long incarnation(StateStore.Entry entry) {
+  private static long incarnation(Entry entry) {
     return Json.num(entry.data(), Membership.FIELD_INCARNATION, 0);
   }
 }
--- a/src/main/java/gladeknot/quota/QuotaAllocator.java
+++ b/src/main/java/gladeknot/quota/QuotaAllocator.java
@@ -7,8 +7,9 @@
 import gladeknot.outbox.Outbox;
 import gladeknot.peer.PeerMessage;
 import gladeknot.settings.Settings;
+import gladeknot.state.Entry;
+import gladeknot.state.Mutation;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Mutation;
 import gladeknot.tasks.Slice;
 import gladeknot.tasks.SliceRegistry;
 import java.util.ArrayList;
@@ -113,14 +114,14 @@
   }
 
   private ResourceAmount committed(String team, int shard) {
-    StateStore.Entry entry = stateStore.get(KEYS + team);
+    Entry entry = stateStore.get(KEYS + team);
     if (entry == null) {
       return NONE;
     }
     return new ResourceAmount(part(entry, "c", shard), part(entry, "g", shard));
   }
 
-  private static long part(StateStore.Entry entry, String name, int shard) {
+  private static long part(Entry entry, String name, int shard) {
     return entry.data().get(name) instanceof List<?> list
             && shard < list.size()
             && list.get(shard) instanceof Number n
--- /dev/null
+++ b/src/main/java/gladeknot/state/Change.java
@@ -0,0 +1,10 @@
+package gladeknot.state;
+
+/**
+ * A change of one key in the watch cache.
+ *
+ * @param key the full key
+ * @param before the former entry, or null if the key was absent
+ * @param after the present entry, or null if the key was deleted
+ */
+public record Change(String key, Entry before, Entry after) {}
--- a/src/main/java/gladeknot/state/StateStore.java
+++ b/src/main/java/gladeknot/state/StateStore.java
@@ -38,49 +38,9 @@
   /** What is used of the service's rates by all together; clocks and bursts take the rest. */
   private static final double MAX_SHARE = 0.92;
 
-  /** A key's value and the stamp of its last change. */
-  public record Entry(Map<String, Object> data, long modRevision) {}
-
-  /** One change of a transaction; without data it deletes. */
-  public record Mutation(String key, Map<String, Object> data, long leaseId) {
-    public static Mutation put(String key, Map<String, Object> data) {
-      return new Mutation(key, data, 0);
-    }
-
-    public static Mutation delete(String key) {
-      return new Mutation(key, null, 0);
-    }
-  }
-
-  /** How a transaction ended. */
-  public enum CommitStatus {
-    COMMITTED,
-    CONFLICT,
-    /** Surely not executed: the service is out of order. */
-    UNAVAILABLE,
-    /** Surely not executed: all controllers together ask too often. */
-    THROTTLED,
-    /** Surely not executed: the lease to attach to has ended, or the request was malformed. */
-    REJECTED,
-    /** No answer: it may have been executed, or may still be. */
-    UNKNOWN
-  }
-
-  /** A transaction's end; for a conflict with the keys that had changed. */
-  public record CommitOutcome(CommitStatus status, long revision, List<String> conflictingKeys) {}
-
-  /** A change of one key in the copy; without a new entry the key is gone. */
-  public record Change(String key, Entry before, Entry after) {}
-
-  /** Hears of every change of the copy. */
-  public interface Listener {
-    /** The copy holds all of these changes already, which came together. */
-    void onChanges(List<Change> changes);
-  }
-
   private final String address;
   private final Outbox outbox;
-  private final Listener listener;
+  private final ChangeListener listener;
   private final RandomGenerator random;
   private final TransactionLimits limits;
   private final double writeShare;
@@ -101,7 +61,8 @@
   private long nowMicros;
 
   /** A client that has read nothing yet. */
-  public StateStore(Settings settings, Outbox outbox, RandomGenerator random, Listener listener) {
+  public StateStore(
+      Settings settings, Outbox outbox, RandomGenerator random, ChangeListener listener) {
     this.address = settings.stateAddress();
     this.outbox = outbox;
     this.random = random;
--- a/src/main/java/gladeknot/state/TransactionCodec.java
+++ b/src/main/java/gladeknot/state/TransactionCodec.java
@@ -2,9 +2,6 @@
 
 import gladeknot.json.Json;
 import gladeknot.outbox.Outbox;
-import gladeknot.state.StateStore.CommitOutcome;
-import gladeknot.state.StateStore.CommitStatus;
-import gladeknot.state.StateStore.Mutation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/gladeknot/tasks/SliceRegistry.java
+++ b/src/main/java/gladeknot/tasks/SliceRegistry.java
@@ -2,6 +2,8 @@
 
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobSpec;
+import gladeknot.state.Change;
+import gladeknot.state.Entry;
 import gladeknot.state.StateStore;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
@@ -126,7 +128,7 @@
   }
 
   /** Takes in which records a part holds, before any of them is read. */
-  public void onSegmentChange(StateStore.Change change) {
+  public void onSegmentChange(Change change) {
     String key = change.key();
     Map<String, String> keys = recordKeys.get(SegmentLayout.shardOf(key));
     Map<String, Object> before = change.before() == null ? Map.of() : change.before().data();
@@ -170,7 +172,7 @@
 
   /** A part of a shard's record as the followed copy has it: records by job. */
   public Map<String, Object> segment(String key) {
-    StateStore.Entry entry = stateStore.get(key);
+    Entry entry = stateStore.get(key);
     return entry == null ? Map.of() : entry.data();
   }
 
--- a/src/main/java/gladeknot/workers/WorkerRegistry.java
+++ b/src/main/java/gladeknot/workers/WorkerRegistry.java
@@ -1,6 +1,6 @@
 package gladeknot.workers;
 
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import gladeknot.tasks.Attempt;
 import java.util.Collection;
 import java.util.HashMap;
@@ -34,7 +34,7 @@
   }
 
   /** Takes in a change of a key of machines. */
-  public void onChange(String key, StateStore.Entry before, StateStore.Entry now) {
+  public void onChange(String key, Entry before, Entry now) {
     Map<String, Object> old = before == null ? Map.of() : before.data();
     Map<String, Object> data = now == null ? Map.of() : now.data();
     data.forEach(
--- a/src/test/java/gladeknot/jobs/JobRegistryTest.java
+++ b/src/test/java/gladeknot/jobs/JobRegistryTest.java
@@ -6,7 +6,7 @@
 
 import gladeknot.json.Json;
 import gladeknot.standin.SimulatedCluster;
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -30,7 +30,7 @@
   }
 
   private void put(String id, Map<String, Object> record) {
-    jobs.onChange(Job.key(id), new StateStore.Entry(record, ++stamp));
+    jobs.onChange(Job.key(id), new Entry(record, ++stamp));
   }
 
   private void done(String id) {
@@ -70,7 +70,7 @@
               case "d" -> record("req-d", "req-c", "req-a");
               default -> record("req-e", "req-d");
             };
-        read.onChange(Job.key("req-" + name), new StateStore.Entry(record, 1));
+        read.onChange(Job.key("req-" + name), new Entry(record, 1));
       }
       assertEquals(5_000, read.active("req-c").readyMicros());
       assertTrue(read.isFinished("req-d") && read.isFinished("req-e"), order.toString());
--- a/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
@@ -5,7 +5,7 @@
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.standin.SimulatedCluster;
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
@@ -42,7 +42,7 @@
     String host = "vm-00000" + number;
     String record = Worker.record(0, type, "a", false, NOW, false);
     Map<String, Object> data = Map.of(Worker.field(host), record);
-    workers.onChange(Worker.key(host), null, new StateStore.Entry(data, number));
+    workers.onChange(Worker.key(host), null, new Entry(data, number));
   }
 
   private static MachineType type(String name) {
--- a/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
@@ -9,6 +9,7 @@
 import gladeknot.policy.Policy;
 import gladeknot.settings.Settings;
 import gladeknot.standin.SimulatedCluster;
+import gladeknot.state.Entry;
 import gladeknot.state.StateStore;
 import gladeknot.tasks.RuntimeEstimates;
 import gladeknot.tasks.SliceRegistry;
@@ -122,7 +123,7 @@
       Map<String, Object> spec = SimulatedCluster.job(w.id(), "array", w.tasks());
       spec.put("dueS", w.dueS());
       long at = NOW - w.agoS() * SECOND;
-      jobs.onChange(Job.key(w.id()), new StateStore.Entry(Json.of("s", spec, "h", 0, "t", at), 1));
+      jobs.onChange(Job.key(w.id()), new Entry(Json.of("s", spec, "h", 0, "t", at), 1));
       slices.jobChanged(w.id(), jobs.active(w.id()));
     }
     DeadlineOrder urgency =
--- a/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
+++ b/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
@@ -7,7 +7,7 @@
 import gladeknot.jobs.JobSpec;
 import gladeknot.json.Json;
 import gladeknot.standin.SimulatedCluster;
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import gladeknot.tasks.RuntimeEstimates;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -29,7 +29,7 @@
     spec.put("rank", rank);
     spec.put("dueS", dueS);
     Map<String, Object> data = Json.of("s", spec, "h", 0, "t", NOW);
-    jobs.onChange(Job.key(id), new StateStore.Entry(data, ++stamp));
+    jobs.onChange(Job.key(id), new Entry(data, ++stamp));
     urgency.refresh();
   }
 
@@ -51,8 +51,7 @@
   void nothingIsInheritedFromAWithdrawnJob() {
     accept("req-a", "idle", null);
     accept("req-b", "high", 50.0, "req-a");
-    jobs.onChange(
-        Job.key("req-b"), new StateStore.Entry(Map.of("p", "withdrawn", "n", 2), ++stamp));
+    jobs.onChange(Job.key("req-b"), new Entry(Map.of("p", "withdrawn", "n", 2), ++stamp));
     urgency.refresh();
     assertEquals(JobSpec.Priority.IDLE, urgency.priority(jobs.active("req-a")));
     assertEquals(PriorityInheritance.NEVER, urgency.latestEndMicros(jobs.active("req-a")));
@@ -63,10 +62,10 @@
     accept("req-a", "idle", null);
     accept("req-b", "idle", null, "req-a");
     long end = NOW + 33 * SECOND;
-    jobs.onChange(Job.key("req-a"), new StateStore.Entry(Job.done(2, end), ++stamp));
+    jobs.onChange(Job.key("req-a"), new Entry(Job.done(2, end), ++stamp));
     assertEquals(end, jobs.active("req-b").readyMicros());
     // The first version's records don't tell when a job ended.
-    jobs.onChange(Job.key("req-0"), new StateStore.Entry(Map.of("p", "done", "n", 2), ++stamp));
+    jobs.onChange(Job.key("req-0"), new Entry(Map.of("p", "done", "n", 2), ++stamp));
     accept("req-c", "idle", null, "req-0");
     assertEquals(NOW, jobs.active("req-c").readyMicros());
   }
--- a/src/test/java/gladeknot/workers/WorkerRegistryTest.java
+++ b/src/test/java/gladeknot/workers/WorkerRegistryTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gladeknot.json.Json;
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -19,8 +19,8 @@
     return Worker.record(shard, "small", "a", true, 5, false);
   }
 
-  private static StateStore.Entry entry(Object... fields) {
-    return new StateStore.Entry(Json.of(fields), 1);
+  private static Entry entry(Object... fields) {
+    return new Entry(Json.of(fields), 1);
   }
 
   @Test
@@ -35,7 +35,7 @@
   @Test
   void aMachineMovesAndItsSessionIsForgotten() throws Heartbeat.MalformedHeartbeatException {
     WorkerRegistry book = new WorkerRegistry();
-    StateStore.Entry first = entry("1", record(0), "2", record(0));
+    Entry first = entry("1", record(0), "2", record(0));
     book.onChange(KEY, null, first);
     Worker w = book.get("vm-000231");
     w.onHeartbeat(report(1, 4, 7), 100);
@@ -49,7 +49,7 @@
   @Test
   void whatWasGivenBackStaysKnownAsThat() {
     WorkerRegistry book = new WorkerRegistry();
-    StateStore.Entry first = entry("1", record(0));
+    Entry first = entry("1", record(0));
     book.onChange(KEY, null, first);
     book.onChange(KEY, first, entry("1", Worker.RELEASED));
     assertNull(book.get("vm-000231"));
