--- a/src/main/java/gladeknot/membership/StateLease.java
+++ b/src/main/java/gladeknot/membership/StateLease.java
@@ -5,6 +5,7 @@
 import gladeknot.settings.Settings;
 import gladeknot.state.CommitStatus;
 import gladeknot.state.Entry;
+import gladeknot.state.LeaseRenewal;
 import gladeknot.state.Mutation;
 import gladeknot.state.StateStore;
 import java.util.List;
@@ -20,7 +21,6 @@
   private static final Logger LOG = LoggerFactory.getLogger(StateLease.class);
 
   private static final String KEYS = StateStore.ROOT + "alive/";
-  private static final long CALL_MICROS = 2_000_000;
   private static final long RETRY_MICROS = 400_000;
 
   /** A lease is renewed, and the copy read, so many times in its length. */
@@ -152,15 +152,12 @@
   private void request() {
     long sent = nowMicros;
     alive = false;
-    stateStore.callUnthrottled(
-        "POST",
-        "/holds",
-        Json.of("ttlMs", times.stateLeaseMicros() / 1000),
-        CALL_MICROS,
-        reply -> {
+    stateStore.grantLease(
+        times.stateLeaseMicros(),
+        granted -> {
           renewing = false;
-          if (reply.status() == 200) {
-            grant = Json.num(reply.object(), "grant", 0);
+          if (granted.isPresent()) {
+            grant = granted.getAsLong();
             renewedMicros = sent;
             announce();
           }
@@ -171,33 +168,35 @@
   private void extend() {
     long sent = nowMicros;
     long extended = grant;
-    stateStore.callUnthrottled(
-        "POST",
-        "/holds/" + grant + "/extend",
-        null,
-        CALL_MICROS,
-        reply -> {
+    stateStore.renewLease(
+        extended,
+        renewal -> {
           renewing = false;
-          if (grant != extended) {
-            return;
-          }
-          if (reply.status() == 200) {
-            renewedMicros = sent;
-            nextRenewMicros = nowMicros + intervalMicros();
-            if (!alive) {
-              announce();
-            }
-          } else if (reply.status() == 404) {
-            LOG.info("state lease {} has ended; a new one is taken", grant);
-            grant = 0;
-            end();
-            nextRenewMicros = nowMicros;
-          } else {
-            nextRenewMicros = nowMicros + RETRY_MICROS;
+          if (grant == extended) {
+            onRenewal(renewal, sent);
           }
         });
   }
 
+  private void onRenewal(LeaseRenewal renewal, long sentMicros) {
+    switch (renewal) {
+      case RENEWED -> {
+        renewedMicros = sentMicros;
+        nextRenewMicros = nowMicros + intervalMicros();
+        if (!alive) {
+          announce();
+        }
+      }
+      case EXPIRED -> {
+        LOG.info("state lease {} has ended; a new one is taken", grant);
+        grant = 0;
+        end();
+        nextRenewMicros = nowMicros;
+      }
+      case UNKNOWN -> nextRenewMicros = nowMicros + RETRY_MICROS;
+    }
+  }
+
   /**
    * Puts up the liveness key under the new lease, over one that a former life may have left. The
    * write is conditional on what the copy shows: a former life's, carried out late, must not take
--- /dev/null
+++ b/src/main/java/gladeknot/state/CacheSynchronizer.java
@@ -0,0 +1,153 @@
+package gladeknot.state;
+
+import gladeknot.outbox.Outbox;
+import gladeknot.state.StateServiceCodec.ListPage;
+import gladeknot.state.StateServiceCodec.ListedKey;
+import gladeknot.state.StateServiceCodec.WatchReply;
+import java.util.TreeMap;
+import java.util.random.RandomGenerator;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Keeps the watch cache current: lists all keys once, then watches them with long polls. A watch
+ * whose starting revision the service has compacted leads to a new list.
+ */
+final class CacheSynchronizer {
+  private static final Logger LOG = LoggerFactory.getLogger(CacheSynchronizer.class);
+
+  private static final long LIST_TIMEOUT_MICROS = 5_000_000;
+  private static final int LIST_PAGE_SIZE = 400;
+  private static final int WATCH_WAIT_MILLIS = 8_000;
+  private static final long WATCH_TIMEOUT_MICROS = WATCH_WAIT_MILLIS * 1000L + 4_000_000;
+
+  /** Between two watches. */
+  private static final long WATCH_INTERVAL_MICROS = 110_000;
+
+  /** Until the next attempt after one that failed, with a random part. */
+  private static final long BACK_OFF_MICROS = 200_000;
+
+  private static final int BACK_OFF_JITTER_MICROS = 300_000;
+  private static final long UNKNOWN_REVISION = -1;
+
+  private final StateServiceClient client;
+  private final WatchCache cache;
+  private final ReadBarriers barriers;
+  private final ChangeListener listener;
+  private final RandomGenerator random;
+  private boolean loaded;
+  private boolean listing;
+  private boolean watching;
+  private long backOffUntilMicros;
+  private long nextWatchMicros;
+  private TreeMap<String, Entry> listed;
+  private long listedRevision;
+  private long nowMicros;
+
+  CacheSynchronizer(
+      StateServiceClient client,
+      WatchCache cache,
+      ReadBarriers barriers,
+      ChangeListener listener,
+      RandomGenerator random) {
+    this.client = client;
+    this.cache = cache;
+    this.barriers = barriers;
+    this.listener = listener;
+    this.random = random;
+  }
+
+  /** Whether the cache holds all keys and is being watched. */
+  boolean loaded() {
+    return loaded;
+  }
+
+  /** Starts a list or a watch when it is time. */
+  void tick(long now) {
+    nowMicros = now;
+    if (!loaded && !listing && now >= backOffUntilMicros) {
+      listing = true;
+      listed = new TreeMap<>();
+      listedRevision = UNKNOWN_REVISION;
+      list("");
+    }
+    if (loaded && !watching && now >= Math.max(backOffUntilMicros, nextWatchMicros)) {
+      watch();
+    }
+  }
+
+  private void list(String afterKey) {
+    client.callUnthrottled(
+        "GET",
+        StateServiceCodec.listPath(StateStore.ROOT, afterKey, LIST_PAGE_SIZE),
+        null,
+        LIST_TIMEOUT_MICROS,
+        reply -> onListReply(afterKey, reply));
+  }
+
+  private void onListReply(String afterKey, Outbox.Reply reply) {
+    if (reply.status() != StateServiceCodec.OK) {
+      listing = false;
+      backOff();
+      return;
+    }
+    ListPage page = StateServiceCodec.listPage(reply);
+    if (listedRevision < 0) {
+      // Later pages may show later changes; the watch repeats them.
+      listedRevision = page.revision();
+    }
+    String lastKey = afterKey;
+    for (ListedKey item : page.keys()) {
+      lastKey = item.key();
+      listed.put(lastKey, item.entry());
+    }
+    if (page.more() && !lastKey.equals(afterKey)) {
+      list(lastKey);
+    } else {
+      finishList();
+    }
+  }
+
+  private void finishList() {
+    listing = false;
+    loaded = true;
+    TreeMap<String, Entry> complete = listed;
+    listed = null;
+    listener.onChanges(cache.applyList(complete, listedRevision));
+    LOG.info("state loaded revision={} keys={}", cache.revision(), cache.size());
+    barriers.reached(cache.revision());
+  }
+
+  private void backOff() {
+    backOffUntilMicros = nowMicros + BACK_OFF_MICROS + random.nextInt(BACK_OFF_JITTER_MICROS);
+  }
+
+  private void watch() {
+    watching = true;
+    client.callUnthrottled(
+        "GET",
+        StateServiceCodec.watchPath(StateStore.ROOT, cache.revision(), WATCH_WAIT_MILLIS),
+        null,
+        WATCH_TIMEOUT_MICROS,
+        this::onWatchReply);
+  }
+
+  private void onWatchReply(Outbox.Reply reply) {
+    watching = false;
+    if (reply.status() == StateServiceCodec.COMPACTED) {
+      loaded = false;
+      return;
+    }
+    if (reply.status() != StateServiceCodec.OK) {
+      backOff();
+      return;
+    }
+    WatchReply watched = StateServiceCodec.watchReply(reply);
+    listener.onChanges(cache.applyEvents(watched.events()));
+    cache.advanceTo(watched.revision().orElse(cache.revision()));
+    // Every change of every controller ends a watch: started again at once, watches alone would
+    // use up the requests that transactions need.
+    nextWatchMicros = nowMicros + WATCH_INTERVAL_MICROS;
+    barriers.reached(cache.revision());
+  }
+}
--- a/src/main/java/gladeknot/state/ReadBarriers.java
+++ b/src/main/java/gladeknot/state/ReadBarriers.java
@@ -2,18 +2,19 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
+import java.util.OptionalLong;
 
 /**
- * What waits for the followed copy to be as new as some moment or some epoch. A barrier is asked
- * for, then sent with one read for many, then waits until the copy has reached what was read.
+ * What waits for the watch cache to be as recent as some moment or some revision. A barrier is
+ * requested, then shares one read with others, then waits until the cache has reached the revision
+ * that was read.
  */
 final class ReadBarriers {
   /** How long a barrier waits until it has failed. */
   static final long WAIT_MICROS = 1_500_000;
 
   /** Between two reads. */
-  private static final long GAP_MICROS = 300_000;
+  private static final long READ_INTERVAL_MICROS = 300_000;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
   private static final long UNKNOWN = -1;
@@ -23,7 +24,7 @@
     private final Runnable fresh;
     private final Runnable failed;
     private final long deadlineMicros;
-    private long epoch = UNKNOWN;
+    private long revision = UNKNOWN;
     private long sentMicros = NEVER;
 
     private Barrier(Runnable fresh, Runnable failed, long deadlineMicros) {
@@ -33,86 +34,95 @@
     }
   }
 
-  private final List<Barrier> asked = new ArrayList<>();
-  private final List<Barrier> reading = new ArrayList<>();
-  private final List<Map.Entry<Long, Runnable>> atEpoch = new ArrayList<>();
-  private boolean inFlight;
+  /** Something that waits for a revision without a deadline. */
+  private record RevisionWaiter(long revision, Runnable then) {}
+
+  private final List<Barrier> requested = new ArrayList<>();
+
+  /** Barriers whose revision is known. */
+  private final List<Barrier> waiting = new ArrayList<>();
+
+  private final List<RevisionWaiter> revisionWaiters = new ArrayList<>();
+  private boolean readInFlight;
   private long lastReadMicros = NEVER;
   private long currentAsOfMicros = NEVER;
 
-  /** When the copy is known to have been current. */
+  /** When the cache is known to have been current. */
   long currentAsOfMicros() {
     return currentAsOfMicros;
   }
 
-  /** Adds a barrier at this moment. */
-  void ask(Runnable fresh, Runnable failed, long nowMicros) {
-    asked.add(new Barrier(fresh, failed, nowMicros + WAIT_MICROS));
+  /** Requests a barrier at this moment. */
+  void request(Runnable fresh, Runnable failed, long nowMicros) {
+    requested.add(new Barrier(fresh, failed, nowMicros + WAIT_MICROS));
   }
 
-  /** Runs something once the copy has reached an epoch, however long that takes. */
-  void whenRevisionReached(long epoch, Runnable then) {
-    atEpoch.add(Map.entry(epoch, then));
+  /** Runs something once the cache has reached a revision, however long that takes. */
+  void whenRevisionReached(long revision, Runnable then) {
+    revisionWaiters.add(new RevisionWaiter(revision, then));
   }
 
-  /** Runs something once the copy has reached an epoch, or else something other soon. */
-  void whenRevisionReached(long epoch, Runnable then, Runnable failed, long nowMicros) {
-    // It says nothing of how fresh the copy is: nothing was read for it.
+  /** Runs {@code then} once the cache has reached a revision, or else soon {@code failed}. */
+  void whenRevisionReached(long revision, Runnable then, Runnable failed, long nowMicros) {
+    // It proves nothing of how recent the cache is: nothing was read for it.
     Barrier barrier = new Barrier(then, failed, nowMicros + WAIT_MICROS);
-    barrier.epoch = epoch;
-    reading.add(barrier);
+    barrier.revision = revision;
+    waiting.add(barrier);
   }
 
   /** Whether a read is to be sent. */
   boolean wantRead(long nowMicros) {
-    return !asked.isEmpty() && !inFlight && nowMicros - lastReadMicros >= GAP_MICROS;
+    return !requested.isEmpty()
+        && !readInFlight
+        && nowMicros - lastReadMicros >= READ_INTERVAL_MICROS;
   }
 
-  /** All that was asked for, to share the read that is sent now. */
+  /** A read is sent now; returns the barriers that share it. */
   List<Barrier> startRead(long nowMicros) {
-    inFlight = true;
+    readInFlight = true;
     lastReadMicros = nowMicros;
-    List<Barrier> batch = List.copyOf(asked);
-    asked.clear();
-    batch.forEach(b -> b.sentMicros = nowMicros);
+    List<Barrier> batch = List.copyOf(requested);
+    requested.clear();
+    batch.forEach(barrier -> barrier.sentMicros = nowMicros);
     return batch;
   }
 
-  /** A read has ended; {@code at} is the epoch that it showed, or below 0 if it showed none. */
-  void read(List<Barrier> batch, long at, long copyEpoch) {
-    inFlight = false;
-    if (at < 0) {
-      batch.forEach(b -> b.failed.run());
+  /** A read has ended with the revision that it showed, or without one. */
+  void finishRead(List<Barrier> batch, OptionalLong readRevision, long cacheRevision) {
+    readInFlight = false;
+    if (readRevision.isEmpty()) {
+      batch.forEach(barrier -> barrier.failed.run());
       return;
     }
-    batch.forEach(b -> b.epoch = at);
-    reading.addAll(batch);
-    reached(copyEpoch);
+    batch.forEach(barrier -> barrier.revision = readRevision.getAsLong());
+    waiting.addAll(batch);
+    reached(cacheRevision);
   }
 
-  /** The copy has reached an epoch. */
-  void reached(long epoch) {
-    if (!atEpoch.isEmpty()) {
-      List<Map.Entry<Long, Runnable>> due =
-          atEpoch.stream().filter(e -> e.getKey() <= epoch).toList();
-      atEpoch.removeAll(due);
-      due.forEach(e -> e.getValue().run());
+  /** The cache has reached a revision. */
+  void reached(long revision) {
+    if (!revisionWaiters.isEmpty()) {
+      List<RevisionWaiter> due =
+          revisionWaiters.stream().filter(waiter -> waiter.revision() <= revision).toList();
+      revisionWaiters.removeAll(due);
+      due.forEach(waiter -> waiter.then().run());
     }
-    if (reading.isEmpty()) {
+    if (waiting.isEmpty()) {
       return;
     }
-    List<Barrier> done = reading.stream().filter(b -> b.epoch >= 0 && b.epoch <= epoch).toList();
-    reading.removeAll(done);
-    for (Barrier b : done) {
-      currentAsOfMicros = Math.max(currentAsOfMicros, b.sentMicros);
-      b.fresh.run();
+    List<Barrier> done =
+        waiting.stream().filter(b -> b.revision >= 0 && b.revision <= revision).toList();
+    waiting.removeAll(done);
+    for (Barrier barrier : done) {
+      currentAsOfMicros = Math.max(currentAsOfMicros, barrier.sentMicros);
+      barrier.fresh.run();
     }
   }
 
   /** Fails what has waited for too long. */
   void expire(long nowMicros) {
-    expire(asked, nowMicros);
-    expire(reading, nowMicros);
+    expire(requested, nowMicros);
+    expire(waiting, nowMicros);
   }
 
   private static void expire(List<Barrier> barriers, long nowMicros) {
@@ -124,6 +134,6 @@
       return;
     }
     barriers.removeAll(late);
-    late.forEach(b -> b.failed.run());
+    late.forEach(barrier -> barrier.failed.run());
   }
 }
--- a/src/main/java/gladeknot/state/StateStore.java
+++ b/src/main/java/gladeknot/state/StateStore.java
@@ -1,22 +1,19 @@
 package gladeknot.state;
 
-import gladeknot.json.Json;
 import gladeknot.outbox.Outbox;
 import gladeknot.settings.Settings;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalLong;
 import java.util.SortedMap;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The client of the state service: a followed copy of every key, commits, and the read barrier that
- * tells whether the copy is as new as some moment.
+ * The client of the state service: the watch cache, transactions, leases, and the read barrier that
+ * proves that the cache is as recent as some moment.
  */
 public final class StateStore {
   private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
@@ -24,59 +21,29 @@
   /** All keys lie under one prefix, so that one watch sees every change. */
   public static final String ROOT = "g/";
 
-  private static final String BARRIER_KEY = "/kv/" + ROOT + "-";
-  private static final long CALL_MICROS = 2_500_000;
-  private static final int FOLLOW_MS = 8_000;
-  private static final long FOLLOW_GAP_MICROS = 110_000;
-  private static final String COMMIT = "/commit";
-  private static final String NO_SUCH_LEASE = "no such lease";
-  private static final int PAGE = 400;
+  /** A key that is never written: a read of it shows the store's revision alone. */
+  private static final String BARRIER_KEY = ROOT + "-";
 
-  /** How many times an even part of the writes one controller may use. */
-  private static final double WRITE_SHARE = 2.0;
+  private static final long COMMIT_TIMEOUT_MICROS = 2_500_000;
+  private static final long LEASE_TIMEOUT_MICROS = 2_000_000;
 
-  /** What is used of the service's rates by all together; clocks and bursts take the rest. */
-  private static final double MAX_SHARE = 0.92;
-
-  private final String address;
-  private final Outbox outbox;
   private final ChangeListener listener;
-  private final RandomGenerator random;
   private final TransactionLimits limits;
-  private final double writeShare;
-  private double writesPerSecond;
-  private final TokenBucket requests;
-  private final TokenBucket writes;
-  private final TreeMap<String, Entry> view = new TreeMap<>();
-  private final Map<String, Long> deletedAt = new HashMap<>();
-  private long revision;
-  private boolean loaded;
-  private boolean loading;
-  private boolean following;
-  private long retryMicros;
-  private long nextFollowMicros;
-  private TreeMap<String, Entry> page;
-  private long pageEpoch;
+  private final RequestLimits requestLimits;
+  private final StateServiceClient client;
+  private final WatchCache cache = new WatchCache();
   private final ReadBarriers barriers = new ReadBarriers();
+  private final CacheSynchronizer synchronizer;
   private long nowMicros;
 
   /** A client that has read nothing yet. */
   public StateStore(
       Settings settings, Outbox outbox, RandomGenerator random, ChangeListener listener) {
-    this.address = settings.stateAddress();
-    this.outbox = outbox;
-    this.random = random;
     this.listener = listener;
-    double part = MAX_SHARE / settings.nodes().size();
-    double rps = settings.stateLimits().rps() * part;
-    // Writes come in bursts at one controller or the other: each may use more than an even part,
-    // and gives way when the service says that all together were too many.
-    limits = new TransactionLimits(settings);
-    writeShare = Math.min(MAX_SHARE, part * WRITE_SHARE);
-    writesPerSecond = limits.writesPerSecond();
-    double writeRps = writesPerSecond * writeShare;
-    this.requests = new TokenBucket(rps, rps);
-    this.writes = new TokenBucket(writeRps, writeRps);
+    this.limits = new TransactionLimits(settings);
+    this.requestLimits = new RequestLimits(settings, limits);
+    this.client = new StateServiceClient(settings.stateAddress(), outbox, requestLimits);
+    this.synchronizer = new CacheSynchronizer(client, cache, barriers, listener, random);
   }
 
   /** What transactions and values may hold. */
@@ -84,215 +51,85 @@
     return limits;
   }
 
+  /** Whether the cache holds all keys and is being watched. */
   public boolean loaded() {
-    return loaded;
+    return synchronizer.loaded();
   }
 
+  /** The store's revision up to which the cache holds all changes. */
   public long revision() {
-    return revision;
+    return cache.revision();
   }
 
-  /** When the copy is known to have been current. */
+  /** When the cache is known to have been current, in microseconds of the steady clock. */
   public long currentAsOfMicros() {
     return barriers.currentAsOfMicros();
   }
 
+  /** The cached entry of a key; null if there is none. */
   public Entry get(String key) {
-    return view.get(key);
+    return cache.get(key);
   }
 
-  /** The stamp of a key in the copy; 0 if there is no such key. */
+  /** The revision of a key's last change in the cache; 0 if there is no such key. */
   public long modRevision(String key) {
-    Entry entry = view.get(key);
-    return entry == null ? 0 : entry.modRevision();
+    return cache.modRevision(key);
   }
 
+  /** A live view of the cached entries whose keys have a prefix. */
   public SortedMap<String, Entry> withPrefix(String prefix) {
-    return view.subMap(prefix, prefix + Character.MAX_VALUE);
+    return cache.withPrefix(prefix);
   }
 
-  /** Write tokens for a transaction of the given size, leaving some to more urgent ones. */
+  /**
+   * Takes the tokens of one transaction with so many writes; returns whether there were enough.
+   *
+   * @param keepShare the part of the burst, 0 to 1, that is left to more urgent transactions
+   */
   public boolean tryAcquireWrites(int count, double keepShare) {
-    double keep = keepShare * writes.burst();
-    return requests.tryAcquire(1, 2, nowMicros) && writes.tryAcquire(count, keep, nowMicros);
+    return requestLimits.tryAcquireWrites(count, keepShare);
   }
 
-  /** How many writes there are tokens for, leaving some to more urgent ones. */
+  /** How many writes there are tokens for, leaving a share of the burst to more urgent ones. */
   public int availableWrites(double keepShare) {
-    int left = (int) writes.available(keepShare * writes.burst(), nowMicros);
-    // However small the bucket is, a claim's two writes must be able to go some time.
-    boolean full = writes.available(0, nowMicros) >= writes.burst();
-    return full ? Math.max(2, left) : left;
+    return requestLimits.availableWrites(keepShare);
   }
 
-  /** Lets time pass. */
+  /** Advances the time, lists, watches, and reads for the barriers, each when it is time. */
   public void tick(long now) {
     nowMicros = now;
-    if (writesPerSecond != limits.writesPerSecond()) {
-      writesPerSecond = limits.writesPerSecond();
-      writes.setRate(writesPerSecond * writeShare, now);
-    }
-    if (!loaded && !loading && now >= retryMicros) {
-      loading = true;
-      page = new TreeMap<>();
-      pageEpoch = -1;
-      load("");
-    }
-    if (loaded && !following && now >= Math.max(retryMicros, nextFollowMicros)) {
-      follow();
-    }
-    if (loaded && barriers.wantRead(now) && requests.tryAcquire(1, 1, now)) {
+    requestLimits.tick(now);
+    synchronizer.tick(now);
+    if (loaded() && barriers.wantRead(now) && requestLimits.tryAcquireRead()) {
       readForBarriers();
     }
     barriers.expire(now);
   }
 
-  /** Any call to the state service. */
-  public void call(
-      String method, String path, Object body, long timeoutMicros, Outbox.ReplyHandler handler) {
-    outbox.call(
-        address,
-        method,
-        path,
-        body,
-        timeoutMicros,
-        reply -> {
-          if (reply.status() == 429) {
-            requests.drain(nowMicros);
-            writes.drain(nowMicros);
-          }
-          handler.onReply(reply);
-        });
-  }
-
-  /** A call that goes even when its tokens are used up. */
-  public void callUnthrottled(
-      String method, String path, Object body, long timeoutMicros, Outbox.ReplyHandler handler) {
-    requests.forceAcquire(1, nowMicros);
-    call(method, path, body, timeoutMicros, handler);
-  }
-
-  private void load(String from) {
-    requests.forceAcquire(1, nowMicros);
-    String after = from.isEmpty() ? "" : "&from=" + from;
-    call(
-        "GET",
-        "/kv?starts=" + ROOT + after + "&most=" + PAGE,
-        null,
-        CALL_MICROS * 2,
-        reply -> {
-          if (reply.status() != 200) {
-            loading = false;
-            backOff();
-            return;
-          }
-          Map<String, Object> body = reply.object();
-          if (pageEpoch < 0) {
-            pageEpoch = Json.num(body, "epoch", 0);
-          }
-          String last = from;
-          for (Map<String, Object> item : Json.objects(body, "items")) {
-            last = Json.text(item, "path");
-            page.put(last, new Entry(Json.map(item.get("data")), Json.num(item, "stamp", 0)));
-          }
-          if (Json.flag(body, "more") && !last.equals(from)) {
-            load(last);
-          } else {
-            finishLoad();
-          }
-        });
-  }
-
-  private void finishLoad() {
-    loading = false;
-    loaded = true;
-    List<String> gone = view.keySet().stream().filter(k -> !page.containsKey(k)).toList();
-    revision = Math.max(revision, pageEpoch);
-    TreeMap<String, Entry> read = page;
-    page = null;
-    List<Change> changes = new ArrayList<>();
-    for (String key : gone) {
-      if (view.get(key).modRevision() <= pageEpoch) {
-        set(key, null, changes);
-      }
-    }
-    read.forEach(
-        (key, entry) -> {
-          if (entry.modRevision() > modRevision(key)) {
-            set(key, entry, changes);
-          }
-        });
-    listener.onChanges(changes);
-    LOG.info("state read at epoch {}: {} keys", revision, view.size());
-    barriers.reached(revision);
-  }
-
-  private void backOff() {
-    retryMicros = nowMicros + 200_000 + random.nextInt(300_000);
-  }
-
-  private void follow() {
-    following = true;
-    requests.forceAcquire(1, nowMicros);
-    call(
+  private void readForBarriers() {
+    List<ReadBarriers.Barrier> batch = barriers.startRead(nowMicros);
+    client.call(
         "GET",
-        "/follow?starts=" + ROOT + "&from=" + revision + "&waitMs=" + FOLLOW_MS,
+        StateServiceCodec.keyPath(BARRIER_KEY),
         null,
-        FOLLOW_MS * 1000L + 4_000_000,
-        reply -> {
-          following = false;
-          if (reply.status() == 410) {
-            loaded = false;
-            return;
-          }
-          if (reply.status() != 200) {
-            backOff();
-            return;
-          }
-          Map<String, Object> body = reply.object();
-          List<Change> changes = new ArrayList<>();
-          for (Map<String, Object> event : Json.objects(body, "events")) {
-            apply(event, changes);
-          }
-          listener.onChanges(changes);
-          revision = Math.max(revision, Json.num(body, "epoch", revision));
-          deletedAt.values().removeIf(at -> at <= revision);
-          // Every change of every controller ends a watch: asked again at once, watches alone would
-          // use up the calls that commits need.
-          nextFollowMicros = nowMicros + FOLLOW_GAP_MICROS;
-          barriers.reached(revision);
-        });
-  }
-
-  private void apply(Map<String, Object> event, List<Change> changes) {
-    long stamp = Json.num(event, "stamp", 0);
-    String written = Json.text(event, "write");
-    String key = written != null ? written : Json.text(event, "delete");
-    if (key == null || stamp <= modRevision(key) || stamp <= deletedAt.getOrDefault(key, 0L)) {
-      return;
-    }
-    set(key, written == null ? null : new Entry(Json.map(event.get("data")), stamp), changes);
-  }
-
-  private void set(String key, Entry now, List<Change> changes) {
-    Entry before = now == null ? view.remove(key) : view.put(key, now);
-    if (before != null || now != null) {
-      changes.add(new Change(key, before, now));
-    }
+        ReadBarriers.WAIT_MICROS,
+        reply ->
+            barriers.finishRead(
+                batch, StateServiceCodec.revisionOfAbsentKey(reply), cache.revision()));
   }
 
-  /** Runs something once the copy has reached an epoch. */
+  /** Runs something once the cache has reached a revision, however long that takes. */
   public void whenRevisionReached(long wanted, Runnable then) {
-    if (loaded && revision >= wanted) {
+    if (loaded() && cache.revision() >= wanted) {
       then.run();
     } else {
       barriers.whenRevisionReached(wanted, then);
     }
   }
 
-  /** The same, but that it is given up when the copy does not get there soon. */
+  /** Runs {@code then} once the cache has reached a revision, or else soon {@code failed}. */
   public void whenRevisionReached(long wanted, Runnable then, Runnable failed) {
-    if (loaded && revision >= wanted) {
+    if (loaded() && cache.revision() >= wanted) {
       then.run();
     } else {
       barriers.whenRevisionReached(wanted, then, failed, nowMicros);
@@ -300,62 +137,81 @@
   }
 
   /**
-   * Runs one of two things: {@code fresh} once the copy is as new as this moment, {@code failed}
-   * when that can't be learnt soon. Many barriers share one read.
+   * Runs one of two things: {@code fresh} once the cache is as recent as this moment, {@code
+   * failed} when that can't be proved soon. Many barriers share one read.
    */
   public void readBarrier(Runnable fresh, Runnable failed) {
-    barriers.ask(fresh, failed, nowMicros);
-  }
-
-  private void readForBarriers() {
-    List<ReadBarriers.Barrier> batch = barriers.startRead(nowMicros);
-    call(
-        "GET",
-        BARRIER_KEY,
-        null,
-        ReadBarriers.WAIT_MICROS,
-        reply -> {
-          long at = reply.status() == 404 ? Json.num(reply.object(), "epoch", -1) : -1;
-          barriers.read(batch, at, revision);
-        });
+    barriers.request(fresh, failed, nowMicros);
   }
 
-  /** Sends a transaction. Tokens are the caller's affair, see {@link #tryAcquireWrites}. */
+  /**
+   * Sends a transaction. The caller acquires its tokens, see {@link #tryAcquireWrites}.
+   *
+   * @param conditions the revision that each of these keys must have; 0 for an absent key
+   */
   public void commit(
-      Map<String, Long> conditions, List<Mutation> changes, Consumer<CommitOutcome> then) {
-    call(
+      Map<String, Long> conditions, List<Mutation> mutations, Consumer<CommitOutcome> then) {
+    client.call(
         "POST",
-        COMMIT,
-        TransactionCodec.body(conditions, changes),
-        CALL_MICROS,
-        reply -> then.accept(takeIn(TransactionCodec.outcome(reply), changes, reply)));
-  }
-
-  /** Brings what a transaction has done into the copy. */
-  private CommitOutcome takeIn(CommitOutcome outcome, List<Mutation> changes, Outbox.Reply reply) {
-    if (outcome.status() == CommitStatus.COMMITTED) {
-      List<Change> applied = new ArrayList<>();
-      changes.forEach(write -> apply(write, outcome.revision(), applied));
-      listener.onChanges(applied);
-    } else if (outcome.status() == CommitStatus.REJECTED) {
-      Object error = reply.object().get("error");
-      LOG.error("transaction refused as malformed: {}: {}", error, TransactionCodec.sizes(changes));
-      if (!NO_SUCH_LEASE.equals(error)) {
-        limits.onSizeRejection();
+        TransactionCodec.PATH,
+        TransactionCodec.body(conditions, mutations),
+        COMMIT_TIMEOUT_MICROS,
+        reply -> then.accept(onCommitReply(reply, mutations)));
+  }
+
+  private CommitOutcome onCommitReply(Outbox.Reply reply, List<Mutation> mutations) {
+    CommitOutcome outcome = TransactionCodec.outcome(reply);
+    switch (outcome.status()) {
+      case COMMITTED -> listener.onChanges(cache.applyCommitted(mutations, outcome.revision()));
+      case REJECTED -> onRejected(reply, mutations);
+      case CONFLICT, UNAVAILABLE, THROTTLED, UNKNOWN -> {
+        // Nothing is known to have changed.
       }
     }
     return outcome;
   }
 
-  private void apply(Mutation write, long at, List<Change> applied) {
-    if (at <= modRevision(write.key()) || at <= deletedAt.getOrDefault(write.key(), 0L)) {
-      return;
-    }
-    if (write.data() == null) {
-      deletedAt.put(write.key(), at);
-      set(write.key(), null, applied);
-    } else {
-      set(write.key(), new Entry(write.data(), at), applied);
+  private void onRejected(Outbox.Reply reply, List<Mutation> mutations) {
+    LOG.error(
+        "transaction rejected error={} sizes={}",
+        TransactionCodec.error(reply),
+        TransactionCodec.sizes(mutations));
+    if (!TransactionCodec.isMissingLease(reply)) {
+      limits.onSizeRejection();
     }
   }
+
+  /**
+   * Asks for a lease; never waits for tokens.
+   *
+   * @param then takes the lease's identifier, or nothing if none was granted
+   */
+  public void grantLease(long ttlMicros, Consumer<OptionalLong> then) {
+    client.callUnthrottled(
+        "POST",
+        StateServiceCodec.LEASES_PATH,
+        StateServiceCodec.leaseRequest(ttlMicros),
+        LEASE_TIMEOUT_MICROS,
+        reply ->
+            then.accept(
+                reply.status() == StateServiceCodec.OK
+                    ? OptionalLong.of(StateServiceCodec.grantedLease(reply))
+                    : OptionalLong.empty()));
+  }
+
+  /** Renews a lease; never waits for tokens. */
+  public void renewLease(long leaseId, Consumer<LeaseRenewal> then) {
+    client.callUnthrottled(
+        "POST",
+        StateServiceCodec.renewalPath(leaseId),
+        null,
+        LEASE_TIMEOUT_MICROS,
+        reply ->
+            then.accept(
+                switch (reply.status()) {
+                  case StateServiceCodec.OK -> LeaseRenewal.RENEWED;
+                  case StateServiceCodec.NOT_FOUND -> LeaseRenewal.EXPIRED;
+                  default -> LeaseRenewal.UNKNOWN;
+                }));
+  }
 }
