--- a/src/main/java/gladeknot/commit/TransactionBatch.java
+++ b/src/main/java/gladeknot/commit/TransactionBatch.java
@@ -1,7 +1,5 @@
 package gladeknot.commit;
 
-import gladeknot.commit.TransactionCommitter.FieldMutation;
-import gladeknot.commit.TransactionCommitter.KeyMutation;
 import gladeknot.state.StateStore;
 import gladeknot.state.StateStore.Mutation;
 import gladeknot.tasks.Attempt;
--- a/src/main/java/gladeknot/commit/TransactionCommitter.java
+++ b/src/main/java/gladeknot/commit/TransactionCommitter.java
@@ -8,7 +8,6 @@
 import gladeknot.membership.StorageFormat;
 import gladeknot.state.StateStore;
 import gladeknot.state.StateStore.CommitOutcome;
-import gladeknot.state.StateStore.Mutation;
 import gladeknot.state.TransactionLimits;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.SegmentLayout;
@@ -25,7 +24,6 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.TreeSet;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -58,22 +56,6 @@
   /** How small transactions become, one halving after the other, when one was refused as such. */
   private static final double MIN_SHRUNK = 0.05;
 
-  /** A change of one whole key for a shard. */
-  public record KeyMutation(
-      int shard, Mutation mutation, Map<String, Long> conditions, Consumer<Boolean> onOutcome) {}
-
-  /**
-   * A change of one field of a packed key for a shard, from one value to another; null stands for
-   * none.
-   */
-  public record FieldMutation(
-      int shard,
-      String key,
-      String field,
-      String expected,
-      String value,
-      Consumer<Boolean> onOutcome) {}
-
   private final StateStore stateStore;
   private final TransactionLimits limits;
   private final Membership membership;
@@ -284,7 +266,7 @@
     if (job != null
         && s.hasUncommittedStarts()
         && (job.spec().spread() || job.spec().colocated())) {
-      more += slices.inShard(s.job()).size();
+      more += slices.ofJob(s.job()).size();
     }
     int most = limits.maxConditions(mostOperations());
     return batch.slices.isEmpty() || batch.conditions.size() + more <= most;
@@ -372,7 +354,7 @@
   private void gatherOthers(TransactionBatch batch, int room) {
     for (int n = fieldMutations.size(); n > 0; n--) {
       FieldMutation e = fieldMutations.poll();
-      if (!mayGo(e.shard(), () -> e.onOutcome().accept(false))) {
+      if (!mayGo(e.shard(), () -> e.callback().onOutcome(false))) {
         if (membership.ownedShards().contains(e.shard())) {
           fieldMutations.add(e);
         }
@@ -385,7 +367,7 @@
       Map<String, Object> before = slices.segment(e.key());
       Map<String, Object> now = batch.segments.getOrDefault(e.key(), before);
       if (!Objects.equals(now.get(e.field()), e.expected())) {
-        e.onOutcome().accept(false);
+        e.callback().onOutcome(false);
         continue;
       }
       batch.put(e.key(), e.field(), e.value());
@@ -394,7 +376,7 @@
     }
     for (int n = keyMutations.size(); n > 0 && batch.operations() < room; n--) {
       KeyMutation e = keyMutations.poll();
-      if (!mayGo(e.shard(), () -> e.onOutcome().accept(false))) {
+      if (!mayGo(e.shard(), () -> e.callback().onOutcome(false))) {
         if (membership.ownedShards().contains(e.shard())) {
           keyMutations.add(e);
         }
@@ -448,7 +430,7 @@
         slices.removeAttempt(a);
       }
     }
-    s.pendingClaims().clear();
+    s.dropClaims();
   }
 
   private static BitSet without(BitSet all, BitSet taken) {
@@ -528,7 +510,7 @@
       if (job.spec().spread() || job.spec().colocated()) {
         // Where a job's tasks may go depends on where its others are, in whichever slice. A slice
         // that is not known here came from one that is, whose part was written with it.
-        for (Slice other : slices.inShard(s.job())) {
+        for (Slice other : slices.ofJob(s.job())) {
           if (other != s) {
             batch.condition(other.key());
             keys.add(other.key());
@@ -561,8 +543,8 @@
         shrunk = Math.min(1, shrunk * 2);
         batch.segments.forEach(slices::onSegmentWritten);
         batch.slices.forEach(this::saved);
-        batch.keyMutations.forEach(e -> e.onOutcome().accept(true));
-        batch.fieldMutations.forEach(e -> e.onOutcome().accept(true));
+        batch.keyMutations.forEach(e -> e.callback().onOutcome(true));
+        batch.fieldMutations.forEach(e -> e.callback().onOutcome(true));
         batch.segments.keySet().forEach(this::refreshSegment);
       }
       case CONFLICT -> {
@@ -617,7 +599,7 @@
     }
     for (KeyMutation e : batch.keyMutations) {
       if (failed.stream().anyMatch(e.conditions()::containsKey)) {
-        e.onOutcome().accept(false);
+        e.callback().onOutcome(false);
       } else {
         keyMutations.add(e);
       }
@@ -645,7 +627,7 @@
     c.claims()
         .forEach(
             (from, tasks) -> {
-              s.pendingClaims().remove(from);
+              s.removeClaim(from);
               slices.load(from.shard(), from.job(), jobs.active(from.job()));
             });
     if (s.version() == c.version()) {
--- a/src/main/java/gladeknot/fleet/Fleet.java
+++ b/src/main/java/gladeknot/fleet/Fleet.java
@@ -1,5 +1,7 @@
 package gladeknot.fleet;
 
+import gladeknot.commit.FieldMutation;
+import gladeknot.commit.MutationCallback;
 import gladeknot.commit.TransactionCommitter;
 import gladeknot.connectivity.ControlAction;
 import gladeknot.jobs.Job;
@@ -27,7 +29,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -701,10 +702,9 @@
         });
   }
 
-  private void edit(String host, int shard, String from, String to, Consumer<Boolean> then) {
+  private void edit(String host, int shard, String from, String to, MutationCallback then) {
     recordWriter.submit(
-        new TransactionCommitter.FieldMutation(
-            shard, Worker.key(host), Worker.field(host), from, to, then));
+        new FieldMutation(shard, Worker.key(host), Worker.field(host), from, to, then));
   }
 
   /** A machine that reports and that nobody has entered. */
--- a/src/main/java/gladeknot/fleet/ScaleIn.java
+++ b/src/main/java/gladeknot/fleet/ScaleIn.java
@@ -1,5 +1,7 @@
 package gladeknot.fleet;
 
+import gladeknot.commit.FieldMutation;
+import gladeknot.commit.MutationCallback;
 import gladeknot.commit.TransactionCommitter;
 import gladeknot.connectivity.ControlAction;
 import gladeknot.json.Json;
@@ -15,7 +17,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -259,9 +260,8 @@
     }
   }
 
-  private void edit(String host, int shard, String from, String to, Consumer<Boolean> then) {
+  private void edit(String host, int shard, String from, String to, MutationCallback then) {
     recordWriter.submit(
-        new TransactionCommitter.FieldMutation(
-            shard, Worker.key(host), Worker.field(host), from, to, then));
+        new FieldMutation(shard, Worker.key(host), Worker.field(host), from, to, then));
   }
 }
--- a/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
+++ b/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
@@ -1,5 +1,6 @@
 package gladeknot.lifecycle;
 
+import gladeknot.commit.KeyMutation;
 import gladeknot.commit.TransactionCommitter;
 import gladeknot.connectivity.ControlAction;
 import gladeknot.jobs.Job;
@@ -129,7 +130,7 @@
       return;
     }
     finishing.remove(id);
-    for (Slice s : slices.inShard(id)) {
+    for (Slice s : slices.ofJob(id)) {
       if (membership.ownedShards().contains(s.shard())) {
         stopAll(s);
         recordWriter.markDirty(s);
@@ -160,7 +161,7 @@
    */
   public void onCancelledElsewhere(List<String> ids) {
     for (String id : ids) {
-      for (Slice s : slices.inShard(id)) {
+      for (Slice s : slices.ofJob(id)) {
         if (membership.ownedShards().contains(s.shard())) {
           for (Attempt a : s.attemptsByTask().values()) {
             if (a.committed() && !a.closed()) {
@@ -462,7 +463,7 @@
     finishing.add(job.id());
     String key = Job.key(job.id());
     recordWriter.submit(
-        new TransactionCommitter.KeyMutation(
+        new KeyMutation(
             job.home(),
             Mutation.put(key, record),
             Map.of(key, job.modRevision()),
@@ -477,14 +478,14 @@
   /** The tasks that are done by committed records: each counts once, whoever has it. */
   private BitSet savedDone(Job job) {
     BitSet done = new BitSet();
-    slices.inShard(job.id()).forEach(s -> done.or(s.committedDone()));
+    slices.ofJob(job.id()).forEach(s -> done.or(s.committedDone()));
     return done;
   }
 
   /** Done tasks and tasks handed out, for display. */
   public int[] taskCounts(Job job) {
     int running = 0;
-    for (Slice s : slices.inShard(job.id())) {
+    for (Slice s : slices.ofJob(job.id())) {
       running += s.liveCount();
     }
     return new int[] {savedDone(job).cardinality(), running};
--- a/src/main/java/gladeknot/quota/QuotaAllocator.java
+++ b/src/main/java/gladeknot/quota/QuotaAllocator.java
@@ -1,5 +1,6 @@
 package gladeknot.quota;
 
+import gladeknot.commit.KeyMutation;
 import gladeknot.commit.TransactionCommitter;
 import gladeknot.connectivity.ControlAction;
 import gladeknot.json.Json;
@@ -206,7 +207,7 @@
     String key = KEYS + team;
     giving.put(team + "/" + shard, given);
     recordWriter.submit(
-        new TransactionCommitter.KeyMutation(
+        new KeyMutation(
             shard,
             Mutation.put(key, data),
             Map.of(key, stateStore.modRevision(key)),
--- a/src/main/java/gladeknot/scheduling/DeadlineOrder.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineOrder.java
@@ -144,7 +144,7 @@
     for (Job job : jobs.active()) {
       if (job.spec().deadlineMicros() > 0) {
         open.add(job);
-        for (Slice s : slices.inShard(job.id())) {
+        for (Slice s : slices.ofJob(job.id())) {
           slots += s.liveCount();
         }
       }
@@ -239,7 +239,7 @@
 
   private int todo(Job job) {
     int sum = 0;
-    for (Slice s : slices.inShard(job.id())) {
+    for (Slice s : slices.ofJob(job.id())) {
       sum += s.pendingCount();
     }
     return sum;
--- a/src/main/java/gladeknot/scheduling/Preemption.java
+++ b/src/main/java/gladeknot/scheduling/Preemption.java
@@ -110,7 +110,7 @@
       JobSpec spec = job.spec();
       Settings.Team team = settings.teams().get(spec.team());
       long open = job.tasks();
-      for (Slice s : slices.inShard(job.id())) {
+      for (Slice s : slices.ofJob(job.id())) {
         open -= s.done().cardinality();
       }
       long[] sum = sums.computeIfAbsent(spec.team(), t -> new long[2]);
--- a/src/main/java/gladeknot/scheduling/Scheduler.java
+++ b/src/main/java/gladeknot/scheduling/Scheduler.java
@@ -369,7 +369,7 @@
   }
 
   private boolean begun(Job job) {
-    for (Slice s : slices.inShard(job.id())) {
+    for (Slice s : slices.ofJob(job.id())) {
       if (s.liveCount() > 0 || !s.done().isEmpty()) {
         return true;
       }
@@ -700,7 +700,7 @@
       slices.discardIfEmpty(own);
       return todo;
     }
-    own.pendingClaims().put(from, tasks);
+    own.addClaim(from, tasks);
     recordWriter.markDirty(own);
     LOG.info("claim {} tasks {} from shard {} for shard {}", spec.id(), tasks, from.shard(), shard);
     return todo - tasks.cardinality();
--- a/src/main/java/gladeknot/tasks/Slice.java
+++ b/src/main/java/gladeknot/tasks/Slice.java
@@ -109,11 +109,29 @@
     return done;
   }
 
-  /** Tasks claimed from other shards' slices, by slice; they move with the next commit. */
+  /**
+   * Tasks claimed from other shards' slices, by slice, which move with the next commit; not to be
+   * changed.
+   */
   public Map<Slice, BitSet> pendingClaims() {
     return pendingClaims;
   }
 
+  /** Claims tasks of another shard's slice, which move here with the next commit. */
+  public void addClaim(Slice from, BitSet tasks) {
+    pendingClaims.put(from, tasks);
+  }
+
+  /** The tasks claimed from a slice have been committed. */
+  public void removeClaim(Slice from) {
+    pendingClaims.remove(from);
+  }
+
+  /** Drops all claims that are not committed. */
+  public void dropClaims() {
+    pendingClaims.clear();
+  }
+
   /** The key of the segment that holds its record; null if the state store has none. */
   public String storedKey() {
     return storedKey;
--- a/src/main/java/gladeknot/tasks/SliceRegistry.java
+++ b/src/main/java/gladeknot/tasks/SliceRegistry.java
@@ -3,8 +3,6 @@
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobSpec;
 import gladeknot.state.StateStore;
-import gladeknot.workers.Worker;
-import gladeknot.workers.WorkerRegistry;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -30,7 +28,7 @@
   private final int shards;
   private final SegmentLayout layout;
   private final StateStore stateStore;
-  private final WorkerRegistry workers;
+  private final HostDirectory hosts;
   private final List<Map<String, Slice>> byShard = new ArrayList<>();
 
   /** The parts of records from which the slices were loaded. */
@@ -47,11 +45,11 @@
 
   /** A registry without slices; {@code partSplit} is asked each time, see {@link SegmentLayout}. */
   public SliceRegistry(
-      int shards, IntSupplier partSplit, StateStore stateStore, WorkerRegistry workers) {
+      int shards, IntSupplier partSplit, StateStore stateStore, HostDirectory hosts) {
     this.shards = shards;
     this.layout = new SegmentLayout(partSplit);
     this.stateStore = stateStore;
-    this.workers = workers;
+    this.hosts = hosts;
     for (int i = 0; i < shards; i++) {
       byShard.add(new HashMap<>());
       recordKeys.add(new HashMap<>());
@@ -71,7 +69,7 @@
   }
 
   /** The slices of a job, in the order of their shards. */
-  public List<Slice> inShard(String job) {
+  public List<Slice> ofJob(String job) {
     List<Slice> found = new ArrayList<>(shards);
     for (Map<String, Slice> map : byShard) {
       Slice s = map.get(job);
@@ -85,11 +83,11 @@
   /** How many of a job's tasks may be on machines of each zone, in whichever slice. */
   public Map<String, Integer> zoneCounts(String job) {
     Map<String, Integer> counts = new HashMap<>();
-    for (Slice s : inShard(job)) {
+    for (Slice s : ofJob(job)) {
       for (Attempt a : s.attemptsByTask().values()) {
-        Worker w = workers.get(a.host());
-        if (!a.closed() && w != null) {
-          counts.merge(w.zone(), 1, Integer::sum);
+        String zone = hosts.zone(a.host());
+        if (!a.closed() && zone != null) {
+          counts.merge(zone, 1, Integer::sum);
         }
       }
     }
@@ -222,7 +220,7 @@
       byShard.get(shard).put(id, s);
     }
     Map<Integer, Attempt> before = new HashMap<>(s.attemptsByTask());
-    s.attempts().forEach(workers::detach);
+    s.attempts().forEach(hosts::detach);
     s.beginReload(record == null ? null : key);
     if (record == null) {
       s.resetToEvenShare(job);
@@ -245,7 +243,7 @@
    */
   public void forgetAttempts(int shard) {
     for (Slice s : inShard(shard)) {
-      s.attempts().forEach(workers::detach);
+      s.attempts().forEach(hosts::detach);
       s.clearAttempts();
     }
   }
@@ -268,17 +266,17 @@
   /** Notes a start that was decided. */
   public void addAttempt(Attempt a) {
     a.slice().addAttempt(a);
-    workers.attach(a);
+    hosts.attach(a);
   }
 
   /** Forgets an attempt whose end is committed, or whose start never was. */
   public void removeAttempt(Attempt a) {
     a.slice().removeAttempt(a);
-    workers.detach(a);
+    hosts.detach(a);
   }
 
   private void drop(Slice s) {
-    s.attempts().forEach(workers::detach);
+    s.attempts().forEach(hosts::detach);
     s.discard();
     byShard.get(s.shard()).remove(s.job());
   }
--- a/src/main/java/gladeknot/workers/WorkerRegistry.java
+++ b/src/main/java/gladeknot/workers/WorkerRegistry.java
@@ -2,6 +2,7 @@
 
 import gladeknot.state.StateStore;
 import gladeknot.tasks.Attempt;
+import gladeknot.tasks.HostDirectory;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -10,7 +11,7 @@
 import java.util.Set;
 
 /** All machines, by name. */
-public final class WorkerRegistry {
+public final class WorkerRegistry implements HostDirectory {
   private final Map<String, Worker> workers = new LinkedHashMap<>();
   private final Map<Integer, Map<String, Worker>> byShard = new HashMap<>();
   private final Set<String> released = new HashSet<>();
@@ -83,12 +84,18 @@
     }
   }
 
-  /** Notes an attempt on its machine, known or not. */
+  @Override
+  public String zone(String host) {
+    Worker worker = workers.get(host);
+    return worker == null ? null : worker.zone();
+  }
+
+  @Override
   public void attach(Attempt a) {
     workers.computeIfAbsent(a.host(), Worker::new).attempts().put(a.name(), a);
   }
 
-  /** Takes an attempt off its machine. */
+  @Override
   public void detach(Attempt a) {
     Worker w = workers.get(a.host());
     if (w != null) {
