--- a/src/main/java/gladeknot/workers/WorkerRegistry.java
+++ b/src/main/java/gladeknot/workers/WorkerRegistry.java
@@ -41,8 +41,8 @@
     data.forEach(
         (field, record) -> {
           if (!record.equals(old.get(field))) {
-            String host = Worker.host(key, field);
-            if (record.equals(Worker.RELEASED)) {
+            String host = WorkerRecordCodec.host(key, field);
+            if (record.equals(WorkerRecordCodec.RELEASED)) {
               released.add(host);
               onDeregistered(host);
             } else {
@@ -52,7 +52,7 @@
         });
     for (String field : old.keySet()) {
       if (!data.containsKey(field)) {
-        onDeregistered(Worker.host(key, field));
+        onDeregistered(WorkerRecordCodec.host(key, field));
       }
     }
   }
