--- a/src/main/java/gladeknot/fleet/Fleet.java
+++ b/src/main/java/gladeknot/fleet/Fleet.java
@@ -10,6 +10,7 @@
 import gladeknot.outbox.Outbox;
 import gladeknot.policy.Policy;
 import gladeknot.scheduling.Scheduler;
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
 import gladeknot.state.TokenBucket;
@@ -388,7 +389,7 @@
   private double target(Demand.Load load) {
     JobSpec spec = load.like();
     double spread = policy.number(Policy.Name.SPREAD);
-    Settings.Objective wait = objective("wait", spec.jobClass());
+    Settings.Objective wait = objective(ObjectiveKind.WAIT, spec.jobClass());
     if (spec.shape() == JobSpec.Shape.SERVICE) {
       if (wait == null) {
         return 0;
@@ -407,9 +408,9 @@
             : policy.number(Policy.Name.FILL));
   }
 
-  private Settings.Objective objective(String kind, String jobClass) {
+  private Settings.Objective objective(ObjectiveKind kind, String jobClass) {
     for (Settings.Objective o : settings.objectives()) {
-      if (o.kind().equals(kind) && jobClass.equals(o.jobClass())) {
+      if (o.kind() == kind && jobClass.equals(o.jobClass())) {
         return o;
       }
     }
@@ -525,7 +526,7 @@
     if (spec.deadlineMicros() > 0) {
       long soonest = offers.soonest(spec);
       for (Settings.Objective o : settings.objectives()) {
-        if (o.kind().equals("deadline") && spec.jobClass().equals(o.jobClass())) {
+        if (o.kind() == ObjectiveKind.DEADLINE && spec.jobClass().equals(o.jobClass())) {
           long left = (long) (spec.deadlineMicros() * o.times()) - age - run - TOLD_MICROS;
           if (left >= soonest || nowMicros + left >= at) {
             double haste = left > 0 ? policy.number(Policy.Name.HASTE) : 1;
@@ -544,7 +545,7 @@
   /** How long a job's tasks may still wait by its class's aim, or by the policy. */
   private long waitLeft(Job job) {
     for (Settings.Objective o : settings.objectives()) {
-      if (o.kind().equals("wait") && job.spec().jobClass().equals(o.jobClass())) {
+      if (o.kind() == ObjectiveKind.WAIT && job.spec().jobClass().equals(o.jobClass())) {
         return Math.max(0, o.withinMicros() - Math.max(0, wallMicros - job.readyMicros()));
       }
     }
--- a/src/main/java/gladeknot/scheduling/DeadlineOrder.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineOrder.java
@@ -4,6 +4,7 @@
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.policy.Policy;
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import gladeknot.tasks.RuntimeEstimates;
 import gladeknot.tasks.Slice;
@@ -70,10 +71,11 @@
     this.inherited = new PriorityInheritance(jobs, estimates);
     Set<Double> all = new HashSet<>();
     for (Settings.Objective o : settings.objectives()) {
-      if (o.kind().equals("deadline")) {
+      if (o.kind() == ObjectiveKind.DEADLINE) {
         known.computeIfAbsent(o.jobClass(), c -> new HashMap<>()).put(o.times(), true);
         all.add(o.times());
-      } else if (o.jobClass() != null && (o.kind().equals("wait") || o.kind().equals("finished"))) {
+      } else if (o.jobClass() != null
+          && (o.kind() == ObjectiveKind.WAIT || o.kind() == ObjectiveKind.FINISHED)) {
         others.computeIfAbsent(o.jobClass(), c -> new ArrayList<>()).add(o);
       }
     }
@@ -186,7 +188,7 @@
     long next = Long.MAX_VALUE;
     for (Settings.Objective o : others.getOrDefault(job.spec().jobClass(), List.of())) {
       long within = o.withinMicros() - START_MICROS;
-      long start = o.kind().equals("wait") ? within : within - run - TOLD_MICROS;
+      long start = o.kind() == ObjectiveKind.WAIT ? within : within - run - TOLD_MICROS;
       if (job.readyMicros() + start >= wall) {
         next = Math.min(next, start);
       }
--- a/src/main/java/gladeknot/scheduling/HomeShardSelector.java
+++ b/src/main/java/gladeknot/scheduling/HomeShardSelector.java
@@ -4,6 +4,7 @@
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.membership.Membership;
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import gladeknot.tasks.Attempt;
 import gladeknot.workers.MachineType;
@@ -37,7 +38,7 @@
       WorkerRegistry workers,
       Scheduler.MachineTypes types) {
     for (Settings.Objective objective : settings.objectives()) {
-      if (objective.kind().equals("wait")) {
+      if (objective.kind() == ObjectiveKind.WAIT) {
         waitMicros.merge(objective.jobClass(), objective.withinMicros(), Math::min);
       }
     }
--- a/src/main/java/gladeknot/scheduling/Scheduler.java
+++ b/src/main/java/gladeknot/scheduling/Scheduler.java
@@ -9,6 +9,7 @@
 import gladeknot.membership.Membership;
 import gladeknot.policy.Policy;
 import gladeknot.quota.QuotaAllocator;
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.RuntimeEstimates;
@@ -145,7 +146,7 @@
     this.controllerZones = settings.controllerZones();
     long within = Long.MAX_VALUE / 4;
     for (Settings.Objective o : settings.objectives()) {
-      if (o.kind().equals("guarantee")) {
+      if (o.kind() == ObjectiveKind.GUARANTEE) {
         within = o.withinMicros();
       }
     }
--- a/src/main/java/gladeknot/settings/Settings.java
+++ b/src/main/java/gladeknot/settings/Settings.java
@@ -43,9 +43,12 @@
     }
   }
 
-  /** An aim; {@code withinMicros} and {@code times} are 0 where they do not apply. */
+  /**
+   * A service-level objective; {@code withinMicros} and {@code times} are 0 where they do not
+   * apply.
+   */
   public record Objective(
-      String kind, String jobClass, long withinMicros, double share, double times) {}
+      ObjectiveKind kind, String jobClass, long withinMicros, double share, double times) {}
 
   /** The workers' times. */
   public record Workers(
--- a/src/main/java/gladeknot/settings/SettingsReader.java
+++ b/src/main/java/gladeknot/settings/SettingsReader.java
@@ -89,7 +89,7 @@
     for (Map<String, Object> o : Json.objects(cluster, "objectives")) {
       objectives.add(
           new Settings.Objective(
-              String.valueOf(o.get("kind")),
+              ObjectiveKind.ofWord(Json.text(o, "kind")),
               Json.text(o, "class"),
               (long) (Json.real(o, "within_s", 0) * 1e6),
               Json.real(o, "share", 0),
--- a/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
@@ -7,6 +7,7 @@
 import gladeknot.json.Json;
 import gladeknot.outbox.Outbox;
 import gladeknot.policy.Policy;
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.state.StateStore;
@@ -81,7 +82,7 @@
   @TestFactory
   Stream<DynamicTest> order() {
     Settings usual = SimulatedCluster.settings(0, 1, SimulatedCluster.SMALL);
-    Settings more = with(usual, "wait", 180, "finished", 300);
+    Settings more = with(usual, ObjectiveKind.WAIT, 180, ObjectiveKind.FINISHED, 300);
     return Stream.concat(
         CASES.stream().map(c -> test(c, usual)), WITH_OTHER_AIMS.stream().map(c -> test(c, more)));
   }
@@ -90,7 +91,8 @@
     return DynamicTest.dynamicTest(c.name(), () -> assertEquals(c.order(), order(c, settings)));
   }
 
-  private static Settings with(Settings s, String first, long firstS, String then, long thenS) {
+  private static Settings with(
+      Settings s, ObjectiveKind first, long firstS, ObjectiveKind then, long thenS) {
     List<Settings.Objective> objectives = new ArrayList<>(s.objectives());
     objectives.add(new Settings.Objective(first, "batch", firstS * SECOND, 0.99, 0));
     objectives.add(new Settings.Objective(then, "batch", thenS * SECOND, 0.99, 0));
--- a/src/test/java/gladeknot/standin/SimulatedCluster.java
+++ b/src/test/java/gladeknot/standin/SimulatedCluster.java
@@ -6,6 +6,7 @@
 import gladeknot.peer.PeerMessage;
 import gladeknot.policy.Policy;
 import gladeknot.settings.Features;
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import gladeknot.standin.DirectionalCuts.Way;
 import java.io.IOException;
@@ -220,9 +221,9 @@
         0,
         Map.of("dev", new Settings.Team("dev", scale.teamCpus() / 3, scale.teamCpus(), 0, 0)),
         List.of(
-            new Settings.Objective("deadline", "batch", 0, 0.9, 1),
-            new Settings.Objective("deadline", "batch", 0, 0.95, 1.5),
-            new Settings.Objective("wait", "scan", 5 * SECOND, 0.9, 0)),
+            new Settings.Objective(ObjectiveKind.DEADLINE, "batch", 0, 0.9, 1),
+            new Settings.Objective(ObjectiveKind.DEADLINE, "batch", 0, 0.95, 1.5),
+            new Settings.Objective(ObjectiveKind.WAIT, "scan", 5 * SECOND, 0.9, 0)),
         new Settings.Workers(REPORT, LEASE, 30 * SECOND, 5 * SECOND, CANCEL),
         new Settings.StateLimits(
             scale.stateRps(), scale.writeRps(), scale.valueBytes(), OPERATIONS),
