--- a/src/main/java/gladeknot/scheduling/Scheduler.java
+++ b/src/main/java/gladeknot/scheduling/Scheduler.java
@@ -9,6 +9,7 @@
 import gladeknot.membership.Membership;
 import gladeknot.policy.Policy;
 import gladeknot.quota.QuotaAllocator;
+import gladeknot.quota.ResourceAmount;
 import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import gladeknot.tasks.Attempt;
@@ -102,7 +103,7 @@
   /** Kept, since it is asked for each machine that a replica is weighed on. */
   private final Set<String> controllerZones;
 
-  private final Map<String, QuotaAllocator.ResourceAmount> left = new HashMap<>();
+  private final Map<String, ResourceAmount> left = new HashMap<>();
 
   /**
    * Kinds of tasks that no machine has room for, and that none will have once what stops has
@@ -171,12 +172,12 @@
     }
     all.sort(QUEUE_ORDER);
     List<PendingDemand> queue = new ArrayList<>();
-    Map<String, QuotaAllocator.ResourceAmount> open = new HashMap<>();
+    Map<String, ResourceAmount> open = new HashMap<>();
     for (PendingSlice w : all) {
       JobSpec spec = w.job().spec();
       int count = w.slice().pendingCount();
       // What its team's limit keeps from running anywhere needs no machine.
-      QuotaAllocator.ResourceAmount a = open.computeIfAbsent(spec.team(), budgets::clusterHeadroom);
+      ResourceAmount a = open.computeIfAbsent(spec.team(), budgets::clusterHeadroom);
       long n = Math.min(count, a.cpus() / spec.cpus());
       if (spec.gpus() > 0) {
         n = Math.min(n, a.gpus() / spec.gpus());
@@ -191,8 +192,7 @@
       if (n > 0) {
         open.put(
             spec.team(),
-            new QuotaAllocator.ResourceAmount(
-                a.cpus() - spec.cpus() * n, a.gpus() - spec.gpus() * n));
+            new ResourceAmount(a.cpus() - spec.cpus() * n, a.gpus() - spec.gpus() * n));
         queue.add(
             new PendingDemand(
                 w.job(),
@@ -396,12 +396,12 @@
     }
   }
 
-  private QuotaAllocator.ResourceAmount left(String team, int shard) {
+  private ResourceAmount left(String team, int shard) {
     return left.computeIfAbsent(team, t -> budgets.available(t, shard));
   }
 
   private int allowedByBudget(JobSpec spec, int shard) {
-    QuotaAllocator.ResourceAmount a = left(spec.team(), shard);
+    ResourceAmount a = left(spec.team(), shard);
     long n = a.cpus() / spec.cpus();
     if (spec.gpus() > 0) {
       n = Math.min(n, a.gpus() / spec.gpus());
@@ -410,11 +410,10 @@
   }
 
   private void charge(JobSpec spec, int count, int shard) {
-    QuotaAllocator.ResourceAmount a = left(spec.team(), shard);
+    ResourceAmount a = left(spec.team(), shard);
     left.put(
         spec.team(),
-        new QuotaAllocator.ResourceAmount(
-            a.cpus() - spec.cpus() * count, a.gpus() - spec.gpus() * count));
+        new ResourceAmount(a.cpus() - spec.cpus() * count, a.gpus() - spec.gpus() * count));
   }
 
   /** How many more attempts the part that a slice lies in has room for. */
@@ -493,9 +492,7 @@
     charge(spec, allowed, shard);
     if (turn) {
       budgets.reserve(
-          spec.team(),
-          shard,
-          new QuotaAllocator.ResourceAmount(spec.cpus() * allowed, spec.gpus() * allowed));
+          spec.team(), shard, new ResourceAmount(spec.cpus() * allowed, spec.gpus() * allowed));
     }
     if (w.starved()) {
       hold(spec, todo, rooms, slices.zoneCounts(spec.id()));
@@ -517,11 +514,11 @@
     }
     long n = spec.shape() == JobSpec.Shape.GANG ? todo : Math.min(able, todo);
     if (able > 0 && n > allowed) {
-      QuotaAllocator.ResourceAmount a = left(spec.team(), shard);
+      ResourceAmount a = left(spec.team(), shard);
       budgets.reportDeficit(
           spec.team(),
           shard,
-          new QuotaAllocator.ResourceAmount(
+          new ResourceAmount(
               Math.max(0, spec.cpus() * n - a.cpus()), Math.max(0, spec.gpus() * n - a.gpus())));
     }
   }
@@ -795,8 +792,7 @@
       }
       for (int i = rest; i < count; i++) {
         preemption.started(spec);
-        budgets.reserve(
-            spec.team(), shard, new QuotaAllocator.ResourceAmount(spec.cpus(), spec.gpus()));
+        budgets.reserve(spec.team(), shard, new ResourceAmount(spec.cpus(), spec.gpus()));
       }
     }
     if (gang && rest > 0) {
