--- a/src/main/java/gladeknot/jobs/DependencyGraph.java
+++ b/src/main/java/gladeknot/jobs/DependencyGraph.java
@@ -12,134 +12,143 @@
 import java.util.function.Function;
 
 /**
- * Which jobs wait for which others.
+ * Which jobs are held by which dependencies.
  *
- * <p>It is kept up to date change by change: each job knows which of those that it needs are still
- * open, and each needed job which others wait for it. The end of a job therefore costs as much as
- * jobs wait for it, and a withdrawal as much as jobs are withdrawn by it.
+ * <p>It is kept up to date change by change: each held job knows its open dependencies, and each
+ * dependency its dependents. The end of a job therefore costs as much as it has dependents, and a
+ * cancellation as much as jobs are cancelled by it.
  */
 final class DependencyGraph {
-  /** A job that waits; {@code open} are those jobs that it needs which are not done. */
-  private static final class Dependent {
+  /** A job that is held until its open dependencies are done. */
+  private static final class HeldJob {
     private Job job;
-    private final Set<String> open = new LinkedHashSet<>();
+    private final Set<String> openDependencies = new LinkedHashSet<>();
 
-    private Dependent(Job job) {
+    private HeldJob(Job job) {
       this.job = job;
     }
   }
 
-  /** Jobs that are over, by id; null for those that are not. */
-  private final Function<String, Job> over;
+  /** Finished jobs by id; null for those that are not. */
+  private final Function<String, Job> finishedJobs;
 
-  private final Map<String, Dependent> held = new LinkedHashMap<>();
+  private final Map<String, HeldJob> heldJobs = new LinkedHashMap<>();
   private final Map<String, Set<String>> dependents = new HashMap<>();
-  private final Map<String, Job> withdrawn = new LinkedHashMap<>();
+  private final Map<String, Job> cancelled = new LinkedHashMap<>();
 
-  DependencyGraph(Function<String, Job> over) {
-    this.over = over;
+  DependencyGraph(Function<String, Job> finishedJobs) {
+    this.finishedJobs = finishedJobs;
   }
 
+  /** The jobs that are held, the one that is held for longest first. */
   Collection<Job> held() {
-    return held.values().stream().map(dependent -> dependent.job).toList();
+    return heldJobs.values().stream().map(heldJob -> heldJob.job).toList();
   }
 
+  /** A held job; null if it isn't held. */
   Job held(String id) {
-    Dependent dependent = held.get(id);
-    return dependent == null ? null : dependent.job;
+    HeldJob heldJob = heldJobs.get(id);
+    return heldJob == null ? null : heldJob.job;
   }
 
-  Collection<String> openNeeds(String id) {
-    Dependent dependent = held.get(id);
-    return dependent == null ? List.of() : dependent.open;
+  /** The dependencies of a job that are not done yet; empty if it isn't held. */
+  Collection<String> openDependencies(String id) {
+    HeldJob heldJob = heldJobs.get(id);
+    return heldJob == null ? List.of() : heldJob.openDependencies;
   }
 
-  /** Jobs that are withdrawn because one that they need is, without a final record of their own. */
-  List<Job> withdrawn() {
-    return List.copyOf(withdrawn.values());
+  /** Jobs that are cancelled with one of their dependencies, without a final record yet. */
+  List<Job> cancelled() {
+    return List.copyOf(cancelled.values());
   }
 
-  Job withdrawn(String id) {
-    return withdrawn.get(id);
+  /** A job that is cancelled with one of its dependencies; null if it isn't. */
+  Job cancelled(String id) {
+    return cancelled.get(id);
   }
 
-  /** Takes in an accepted job. What may start at once is added to {@code released}. */
+  /** Adds an accepted job. If nothing holds it, it is added to {@code released}. */
   void add(Job job, List<Job> released) {
-    Dependent dependent = new Dependent(job);
-    boolean doomed = false;
-    for (String need : job.spec().dependencies()) {
-      Job ended = over.apply(need);
-      if (ended == null) {
-        dependent.open.add(need);
-      } else if (ended.phase() == Job.Phase.DONE) {
-        dependent.job = later(dependent.job, ended);
+    HeldJob heldJob = new HeldJob(job);
+    boolean dependencyCancelled = false;
+    for (String dependency : job.spec().dependencies()) {
+      Job finished = finishedJobs.apply(dependency);
+      if (finished == null) {
+        heldJob.openDependencies.add(dependency);
+      } else if (finished.phase() == Job.Phase.DONE) {
+        heldJob.job = readyAfter(heldJob.job, finished);
       } else {
-        doomed = true;
+        dependencyCancelled = true;
       }
     }
-    if (doomed) {
-      withdraw(job);
-    } else if (dependent.open.isEmpty()) {
-      released.add(dependent.job);
+    if (dependencyCancelled) {
+      cancel(job);
+    } else if (heldJob.openDependencies.isEmpty()) {
+      released.add(heldJob.job);
     } else {
-      held.put(job.id(), dependent);
-      for (String need : dependent.open) {
-        dependents.computeIfAbsent(need, id -> new LinkedHashSet<>()).add(job.id());
-      }
+      hold(heldJob);
+    }
+  }
+
+  private void hold(HeldJob heldJob) {
+    String id = heldJob.job.id();
+    heldJobs.put(id, heldJob);
+    for (String dependency : heldJob.openDependencies) {
+      dependents.computeIfAbsent(dependency, absent -> new LinkedHashSet<>()).add(id);
     }
   }
 
-  /** Forgets what is known of a job as a dependent, before its record is taken in anew. */
+  /** Forgets a job as a dependent, before its changed record is added. */
   void remove(String id) {
-    withdrawn.remove(id);
-    Dependent dependent = held.remove(id);
-    if (dependent == null) {
+    cancelled.remove(id);
+    HeldJob heldJob = heldJobs.remove(id);
+    if (heldJob == null) {
       return;
     }
-    for (String need : dependent.open) {
-      Set<String> waiting = dependents.get(need);
-      waiting.remove(id);
-      if (waiting.isEmpty()) {
-        dependents.remove(need);
+    for (String dependency : heldJob.openDependencies) {
+      Set<String> remaining = dependents.get(dependency);
+      remaining.remove(id);
+      if (remaining.isEmpty()) {
+        dependents.remove(dependency);
       }
     }
   }
 
-  /** A job is over. Those that waited for nothing else any more are added to {@code released}. */
-  void ended(String id, List<Job> released) {
-    Job ended = over.apply(id);
-    if (ended.phase() == Job.Phase.CANCELLED) {
-      withdrawDependents(id);
+  /** A job is finished. Dependents that nothing else holds are added to {@code released}. */
+  void onFinished(String id, List<Job> released) {
+    Job finished = finishedJobs.apply(id);
+    if (finished.phase() == Job.Phase.CANCELLED) {
+      cancelDependents(id);
       return;
     }
-    for (String waiting : dependentsOf(id)) {
-      Dependent dependent = held.get(waiting);
-      dependent.job = later(dependent.job, ended);
-      dependent.open.remove(id);
-      if (dependent.open.isEmpty()) {
-        held.remove(waiting);
-        released.add(dependent.job);
+    for (String dependent : dependentsOf(id)) {
+      HeldJob heldJob = heldJobs.get(dependent);
+      heldJob.job = readyAfter(heldJob.job, finished);
+      heldJob.openDependencies.remove(id);
+      if (heldJob.openDependencies.isEmpty()) {
+        heldJobs.remove(dependent);
+        released.add(heldJob.job);
       }
     }
     dependents.remove(id);
   }
 
-  /** Withdraws a job, and all that need it. */
-  private void withdraw(Job job) {
+  /** Cancels a job and all that depend on it, directly or through others. */
+  private void cancel(Job job) {
     remove(job.id());
-    withdrawn.put(job.id(), asWithdrawn(job));
-    withdrawDependents(job.id());
+    cancelled.put(job.id(), job.asCancelled());
+    cancelDependents(job.id());
   }
 
-  private void withdrawDependents(String first) {
-    ArrayDeque<String> todo = new ArrayDeque<>();
-    todo.add(first);
-    while (!todo.isEmpty()) {
-      for (String waiting : dependentsOf(todo.poll())) {
-        Job job = held.get(waiting).job;
-        remove(waiting);
-        withdrawn.put(waiting, asWithdrawn(job));
-        todo.add(waiting);
+  private void cancelDependents(String first) {
+    ArrayDeque<String> pending = new ArrayDeque<>();
+    pending.add(first);
+    while (!pending.isEmpty()) {
+      for (String dependent : dependentsOf(pending.poll())) {
+        Job job = heldJobs.get(dependent).job;
+        remove(dependent);
+        cancelled.put(dependent, job.asCancelled());
+        pending.add(dependent);
       }
     }
   }
@@ -148,21 +157,13 @@
     return new ArrayList<>(dependents.getOrDefault(id, Set.of()));
   }
 
-  /** A done job whose record does not tell when it ended was over before anything could need it. */
-  private static Job later(Job job, Job ended) {
-    return ended.endMicros() > job.readyMicros() ? job.readyAt(ended.endMicros()) : job;
-  }
-
-  private static Job asWithdrawn(Job job) {
-    return new Job(
-        job.id(),
-        Job.Phase.CANCELLED,
-        null,
-        job.home(),
-        job.tasks(),
-        job.submittedMicros(),
-        0,
-        0,
-        job.modRevision());
+  /**
+   * The dependent, ready no earlier than its dependency was done. A done job whose record does not
+   * say when it ended was over before anything could depend on it.
+   */
+  private static Job readyAfter(Job dependent, Job done) {
+    return done.endMicros() > dependent.readyMicros()
+        ? dependent.readyAt(done.endMicros())
+        : dependent;
   }
 }
--- /dev/null
+++ b/src/main/java/gladeknot/jobs/JobRecordCodec.java
@@ -0,0 +1,80 @@
+package gladeknot.jobs;
+
+import gladeknot.json.Json;
+import gladeknot.state.StateStore;
+import java.util.Map;
+
+/**
+ * Converts a {@link Job} from and to its record in the state store. An active job's record holds
+ * its submission; a final record, which never changes again, the phase and the number of tasks.
+ */
+public final class JobRecordCodec {
+  private static final String PHASE = "p";
+  private static final String TASKS = "n";
+  private static final String SPEC = "s";
+  private static final String HOME = "h";
+  private static final String SUBMITTED_MICROS = "t";
+
+  /** Not written by versions without dependencies, which ignore it. */
+  private static final String END_MICROS = "e";
+
+  private static final String PHASE_DONE = "done";
+  private static final String PHASE_CANCELLED = "withdrawn";
+
+  private JobRecordCodec() {}
+
+  /** The record of a job that is accepted at a time of day. */
+  static Map<String, Object> encodeAccepted(JobSpec spec, int home, long wallMicros) {
+    return Json.of(SPEC, JobSpecCodec.encode(spec), HOME, home, SUBMITTED_MICROS, wallMicros);
+  }
+
+  /** The final record of a job whose tasks are all done, from a time of day on. */
+  public static Map<String, Object> encodeDone(int tasks, long wallMicros) {
+    return Json.of(PHASE, PHASE_DONE, TASKS, tasks, END_MICROS, wallMicros);
+  }
+
+  /** The final record of a cancelled job. */
+  public static Map<String, Object> encodeCancelled(int tasks) {
+    return Json.of(PHASE, PHASE_CANCELLED, TASKS, tasks);
+  }
+
+  /**
+   * Reads a job's record.
+   *
+   * @throws IllegalStateException if an accepted job is stored with a malformed submission
+   */
+  static Job decode(String id, StateStore.Entry entry) {
+    String phase = Json.text(entry.data(), PHASE);
+    return phase == null ? decodeActive(id, entry) : decodeFinal(id, phase, entry);
+  }
+
+  private static Job decodeFinal(String id, String phaseWord, StateStore.Entry entry) {
+    Map<String, Object> data = entry.data();
+    Job.Phase phase = phaseWord.equals(PHASE_DONE) ? Job.Phase.DONE : Job.Phase.CANCELLED;
+    int tasks = (int) Json.num(data, TASKS, 0);
+    long end = Json.num(data, END_MICROS, 0);
+    return new Job(id, phase, null, 0, tasks, 0, 0, end, entry.modRevision());
+  }
+
+  private static Job decodeActive(String id, StateStore.Entry entry) {
+    Map<String, Object> data = entry.data();
+    JobSpec spec;
+    try {
+      spec = JobSpecCodec.decode(Json.map(data.get(SPEC)));
+    } catch (MalformedJobException e) {
+      throw new IllegalStateException("job " + id + " is stored malformed: " + e.getMessage(), e);
+    }
+    int home = (int) Json.num(data, HOME, 0);
+    long submitted = Json.num(data, SUBMITTED_MICROS, 0);
+    return new Job(
+        id,
+        Job.Phase.ACTIVE,
+        spec,
+        home,
+        spec.tasks(),
+        submitted,
+        submitted,
+        0,
+        entry.modRevision());
+  }
+}
--- a/src/main/java/gladeknot/jobs/JobRegistry.java
+++ b/src/main/java/gladeknot/jobs/JobRegistry.java
@@ -9,26 +9,27 @@
 import java.util.Map;
 
 /**
- * All accepted jobs, as the followed copy of the state has them.
+ * All accepted jobs, as the local copy of the state store shows them.
  *
- * <p>A job that waits for others is <em>held</em> and not among the active ones: nothing that
- * places tasks or rents machines sees it before all jobs that it needs are done. A job that needs a
- * withdrawn one, directly or through others, counts as withdrawn from the moment at which the copy
- * shows that, whether its own record says so yet or not.
+ * <p>A job with dependencies that are not done is <em>held</em> and not among the active ones:
+ * nothing that places tasks or scales out sees it before all of its dependencies are done. A job
+ * that depends on a cancelled one, directly or through others, counts as cancelled from the moment
+ * at which the copy shows that, whether its own record says so yet or not.
  */
 public final class JobRegistry {
   /** Hears of jobs that become active or are over. */
   public interface Listener {
-    /** One of the two may be null: a job that was not active before, or is gone. */
+    /** One of the two may be null: a job that was not active before, or whose record is gone. */
     void onJobChange(Job before, Job now);
   }
 
   private final Map<String, Job> active = new LinkedHashMap<>();
   private final Map<String, Job> finished = new HashMap<>();
-  private final DependencyGraph graph = new DependencyGraph(this::finished);
+  private final DependencyGraph dependencies = new DependencyGraph(this::finished);
   private final Listener listener;
   private long changeCount;
 
+  /** An empty registry whose changes go to the listener. */
   public JobRegistry(Listener listener) {
     this.listener = listener;
   }
@@ -38,46 +39,46 @@
     return active.get(id);
   }
 
-  /** The jobs that are under way. */
+  /** The jobs that are under way, in the order in which they became active. */
   public Collection<Job> active() {
     return active.values();
   }
 
-  /** The jobs that wait for others. */
+  /** The jobs that are held by their dependencies. */
   public Collection<Job> held() {
-    return graph.held();
+    return dependencies.held();
   }
 
-  /** A job that is neither done nor withdrawn, held or not; null if there is no such job. */
+  /** A job that is neither done nor cancelled, held or not; null if there is no such job. */
   public Job unfinished(String id) {
     Job job = active.get(id);
-    return job != null ? job : graph.held(id);
+    return job != null ? job : dependencies.held(id);
   }
 
-  /** Whether a job is done or withdrawn; one that is not known is not. */
+  /** Whether a job is done or cancelled; one that is not known is not. */
   public boolean isFinished(String id) {
     return finished(id) != null;
   }
 
-  /** A job that is done or withdrawn, be it through one that it needs; null if it isn't. */
+  /** A job that is done or cancelled, be it with one of its dependencies; null if it isn't. */
   public Job finished(String id) {
     Job job = finished.get(id);
-    return job != null ? job : graph.withdrawn(id);
+    return job != null ? job : dependencies.cancelled(id);
   }
 
-  /** Whether a job was accepted, as far as the copy tells. */
+  /** Whether a job was accepted, as far as the copy shows. */
   public boolean isKnown(String id) {
     return unfinished(id) != null || isFinished(id);
   }
 
-  /** Jobs that are withdrawn through others, and whose own records don't say so yet. */
+  /** Jobs that are cancelled with a dependency, and whose own records don't say so yet. */
   public List<Job> cancelledByDependency() {
-    return graph.withdrawn();
+    return dependencies.cancelled();
   }
 
-  /** The jobs named by a job's {@code waitsOn} that are not done yet; empty if it isn't held. */
+  /** The dependencies of a job that are not done yet; empty if it isn't held. */
   public Collection<String> openDependencies(String id) {
-    return graph.openNeeds(id);
+    return dependencies.openDependencies(id);
   }
 
   /** Grows with every change. */
@@ -85,25 +86,25 @@
     return changeCount;
   }
 
-  /** Takes in a change of a job's key. */
+  /** Applies a change of a job's record; a null entry says that the record is gone. */
   public void onChange(String key, StateStore.Entry entry) {
     String id = key.substring(Job.KEY_PREFIX.length());
     changeCount++;
     Job before = active.remove(id);
-    Job now = entry == null ? null : Job.decode(id, entry);
-    graph.remove(id);
+    Job now = entry == null ? null : JobRecordCodec.decode(id, entry);
+    dependencies.remove(id);
     if (now == null) {
       finished.remove(id);
       listener.onJobChange(before, null);
     } else if (now.active()) {
       List<Job> released = new ArrayList<>();
-      graph.add(now, released);
+      dependencies.add(now, released);
       released.forEach(job -> activate(before, job));
     } else {
       finished.put(id, now);
       listener.onJobChange(before, now);
       List<Job> released = new ArrayList<>();
-      graph.ended(id, released);
+      dependencies.onFinished(id, released);
       released.forEach(job -> activate(null, job));
     }
   }
--- /dev/null
+++ b/src/main/java/gladeknot/jobs/SubmissionErrors.java
@@ -0,0 +1,51 @@
+package gladeknot.jobs;
+
+import gladeknot.jobs.SubmissionOutcome.Rejected;
+import gladeknot.jobs.SubmissionOutcome.Rejected.Cause;
+
+/** The rejections of submissions, whose texts name the protocol's fields. */
+final class SubmissionErrors {
+  private SubmissionErrors() {}
+
+  static Rejected notAnObject() {
+    return new Rejected(Cause.MALFORMED, "body: not a JSON object");
+  }
+
+  static Rejected malformed(MalformedJobException fault) {
+    return new Rejected(Cause.MALFORMED, fault.getMessage());
+  }
+
+  /** The submission's record would exceed what the state store takes. */
+  static Rejected tooLong(JobSpec spec) {
+    String longestField = spec.dependencies().isEmpty() ? "hosttypes" : "waitsOn";
+    return new Rejected(Cause.MALFORMED, longestField + ": too long");
+  }
+
+  static Rejected unknownTeam(String team) {
+    return unsatisfiable("owner: unknown team " + team);
+  }
+
+  static Rejected exceedsTeamLimit(String team) {
+    return unsatisfiable("cores, accelerators: more than the limit of team " + team);
+  }
+
+  static Rejected fitsNoMachineType() {
+    return unsatisfiable("cores, accelerators, memoryGb: a task fits no allowed type");
+  }
+
+  static Rejected dependsOnItself() {
+    return unsatisfiable("waitsOn: names the job itself");
+  }
+
+  static Rejected unknownDependency(String dependency) {
+    return unsatisfiable("waitsOn: no such job " + dependency);
+  }
+
+  static Rejected dependsOnService(String dependency) {
+    return unsatisfiable("waitsOn: a service never ends: " + dependency);
+  }
+
+  private static Rejected unsatisfiable(String reason) {
+    return new Rejected(Cause.UNSATISFIABLE, reason);
+  }
+}
--- a/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
+++ b/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
@@ -3,6 +3,7 @@
 import gladeknot.commit.TransactionCommitter;
 import gladeknot.connectivity.ControlAction;
 import gladeknot.jobs.Job;
+import gladeknot.jobs.JobRecordCodec;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec.Shape;
 import gladeknot.membership.Membership;
@@ -443,12 +444,13 @@
   private void finals() {
     for (Job job : List.copyOf(jobs.active())) {
       if (mayFinish(job) && savedDone(job).cardinality() >= job.tasks()) {
-        finish(job, Job.done(job.tasks(), wallMicros), "done");
+        finish(job, JobRecordCodec.encodeDone(job.tasks(), wallMicros), "done");
       }
     }
     for (Job job : jobs.cancelledByDependency()) {
       if (mayFinish(job)) {
-        finish(job, Job.cancelled(job.tasks()), "withdrawn with one that it needs");
+        finish(
+            job, JobRecordCodec.encodeCancelled(job.tasks()), "withdrawn with one that it needs");
       }
     }
   }
--- a/src/test/java/gladeknot/fleet/CapacityTest.java
+++ b/src/test/java/gladeknot/fleet/CapacityTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gladeknot.jobs.JobSpec;
+import gladeknot.jobs.JobSpecCodec;
+import gladeknot.jobs.MalformedJobException;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.workers.MachineType;
 import java.util.HashMap;
@@ -16,8 +18,8 @@
   private static final MachineType TYPE =
       new MachineType("small", 4000, 0, 16_000, 40, 0.5, 0.2, 0.1, 10_000_000, List.of("a", "b"));
 
-  private static JobSpec spec(String shape, int tasks) throws JobSpec.MalformedJobException {
-    return JobSpec.parse(SimulatedCluster.job("req-1", shape, tasks));
+  private static JobSpec spec(String shape, int tasks) throws MalformedJobException {
+    return JobSpecCodec.decode(SimulatedCluster.job("req-1", shape, tasks));
   }
 
   private static Capacity of(int machines) {
@@ -31,8 +33,7 @@
   }
 
   @Test
-  void replicasGoHalfToEachZoneAndOneByOneIntoTheFirstMachines()
-      throws JobSpec.MalformedJobException {
+  void replicasGoHalfToEachZoneAndOneByOneIntoTheFirstMachines() throws MalformedJobException {
     Capacity capacity = of(4);
     Map<String, Integer> inZone = new HashMap<>();
     assertEquals(6, capacity.put(spec("service", 6), 6, inZone));
@@ -45,7 +46,7 @@
   }
 
   @Test
-  void machinesThatReplicasKeepAreNeededBeforeOthers() throws JobSpec.MalformedJobException {
+  void machinesThatReplicasKeepAreNeededBeforeOthers() throws MalformedJobException {
     Capacity capacity = new Capacity();
     capacity.add(new Capacity.Box("vm-000001", TYPE, "a", false, 0));
     capacity.add(new Capacity.Box("vm-000002", TYPE, "a", false, 1));
@@ -58,14 +59,14 @@
   }
 
   @Test
-  void looksForEachTaskDoNotGrowWithTheFleet() throws JobSpec.MalformedJobException {
+  void looksForEachTaskDoNotGrowWithTheFleet() throws MalformedJobException {
     double small = looksForEachTask(100);
     double large = looksForEachTask(1000);
     assertTrue(large <= small * 1.1, small + " then " + large);
     assertTrue(large < 4, large + " looks for each task");
   }
 
-  private static double looksForEachTask(int machines) throws JobSpec.MalformedJobException {
+  private static double looksForEachTask(int machines) throws MalformedJobException {
     Capacity capacity = of(machines);
     Forecast forecast = new Forecast();
     for (Capacity.Box box : capacity.boxes()) {
--- a/src/test/java/gladeknot/fleet/ForecastTest.java
+++ b/src/test/java/gladeknot/fleet/ForecastTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import gladeknot.jobs.JobSpec;
+import gladeknot.jobs.JobSpecCodec;
+import gladeknot.jobs.MalformedJobException;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.workers.MachineType;
 import java.util.List;
@@ -14,12 +16,12 @@
   private static final MachineType TYPE =
       new MachineType("small", 2000, 0, 16_000, 40, 0.5, 0.2, 0.1, 10_000_000, List.of("a"));
 
-  private static JobSpec spec(String shape) throws JobSpec.MalformedJobException {
-    return JobSpec.parse(SimulatedCluster.job("req-1", shape, 4));
+  private static JobSpec spec(String shape) throws MalformedJobException {
+    return JobSpecCodec.decode(SimulatedCluster.job("req-1", shape, 4));
   }
 
   @Test
-  void tasksQueueForTheRoomThatRunningOnesLeave() throws JobSpec.MalformedJobException {
+  void tasksQueueForTheRoomThatRunningOnesLeave() throws MalformedJobException {
     Forecast forecast = new Forecast();
     JobSpec spec = spec("array");
     Forecast.Slot slot = new Forecast.Slot(TYPE, "a", true, 0, 0, List.of("img"));
@@ -33,7 +35,7 @@
   }
 
   @Test
-  void tasksThatStartTogetherAreAsGoodAsOneByOne() throws JobSpec.MalformedJobException {
+  void tasksThatStartTogetherAreAsGoodAsOneByOne() throws MalformedJobException {
     JobSpec spec = spec("array");
     long[] ends = new long[2];
     for (int way = 0; way < 2; way++) {
@@ -52,7 +54,7 @@
   }
 
   @Test
-  void whatMayBeStoppedIsNoHindrance() throws JobSpec.MalformedJobException {
+  void whatMayBeStoppedIsNoHindrance() throws MalformedJobException {
     Forecast forecast = new Forecast();
     JobSpec web = spec("service");
     Forecast.Slot slot = new Forecast.Slot(TYPE, "a", false, 0, 0, List.of("img"));
@@ -65,7 +67,7 @@
   }
 
   @Test
-  void spreadReplicasNeedAnotherZone() throws JobSpec.MalformedJobException {
+  void spreadReplicasNeedAnotherZone() throws MalformedJobException {
     Forecast forecast = new Forecast();
     forecast.add(new Forecast.Slot(TYPE, "a", false, 0, 0, List.of()));
     // Four replicas: two to a zone at most.
--- a/src/test/java/gladeknot/jobs/JobRegistryTest.java
+++ b/src/test/java/gladeknot/jobs/JobRegistryTest.java
@@ -34,11 +34,11 @@
   }
 
   private void done(String id) {
-    put(id, Job.done(1, 2_000));
+    put(id, JobRecordCodec.encodeDone(1, 2_000));
   }
 
   private void withdraw(String id) {
-    put(id, Job.cancelled(1));
+    put(id, JobRecordCodec.encodeCancelled(1));
   }
 
   @Test
@@ -64,8 +64,8 @@
       for (String name : order) {
         Map<String, Object> record =
             switch (name) {
-              case "a" -> Job.cancelled(1);
-              case "b" -> Job.done(1, 5_000);
+              case "a" -> JobRecordCodec.encodeCancelled(1);
+              case "b" -> JobRecordCodec.encodeDone(1, 5_000);
               case "c" -> record("req-c", "req-b");
               case "d" -> record("req-d", "req-c", "req-a");
               default -> record("req-e", "req-d");
--- a/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
@@ -3,7 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import gladeknot.jobs.JobRegistry;
-import gladeknot.jobs.JobSpec;
+import gladeknot.jobs.JobSpecCodec;
+import gladeknot.jobs.MalformedJobException;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.state.StateStore;
 import gladeknot.workers.MachineType;
@@ -22,7 +23,7 @@
   /** Two machines of 16 CPUs and 2 GPUs, three of 4 CPUs. */
   @ParameterizedTest
   @CsvSource({"6.0, 1.0, 4", "6.0, 2.0, 2", "2.0, 0.0, 6", "4.0, 0.0, 3"})
-  void places(double cpus, double gpus, int places) throws JobSpec.MalformedJobException {
+  void places(double cpus, double gpus, int places) throws MalformedJobException {
     WorkerRegistry workers = new WorkerRegistry();
     enter(workers, 1, "accelerated");
     enter(workers, 2, "accelerated");
@@ -35,7 +36,7 @@
     Map<String, Object> job = SimulatedCluster.job("req-1", "array", 8);
     job.put("cores", cpus);
     job.put("accelerators", gpus);
-    assertEquals(places, capacity.places(JobSpec.parse(job), NOW, NOW));
+    assertEquals(places, capacity.places(JobSpecCodec.decode(job), NOW, NOW));
   }
 
   private static void enter(WorkerRegistry workers, int number, String type) {
--- a/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
+++ b/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import gladeknot.jobs.Job;
+import gladeknot.jobs.JobRecordCodec;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.json.Json;
@@ -63,7 +64,8 @@
     accept("req-a", "idle", null);
     accept("req-b", "idle", null, "req-a");
     long end = NOW + 33 * SECOND;
-    jobs.onChange(Job.key("req-a"), new StateStore.Entry(Job.done(2, end), ++stamp));
+    jobs.onChange(
+        Job.key("req-a"), new StateStore.Entry(JobRecordCodec.encodeDone(2, end), ++stamp));
     assertEquals(end, jobs.active("req-b").readyMicros());
     // The first version's records don't tell when a job ended.
     jobs.onChange(Job.key("req-0"), new StateStore.Entry(Map.of("p", "done", "n", 2), ++stamp));
--- a/src/test/java/gladeknot/tasks/SliceTest.java
+++ b/src/test/java/gladeknot/tasks/SliceTest.java
@@ -5,6 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gladeknot.jobs.JobSpec;
+import gladeknot.jobs.JobSpecCodec;
+import gladeknot.jobs.MalformedJobException;
 import gladeknot.standin.SimulatedCluster;
 import java.util.BitSet;
 import java.util.List;
@@ -18,8 +20,8 @@
 class SliceTest {
   private static final SegmentLayout LAYOUT = new SegmentLayout(() -> 1);
 
-  private static Slice slice(int tasks) throws JobSpec.MalformedJobException {
-    JobSpec spec = JobSpec.parse(SimulatedCluster.job("req-1", "array", tasks));
+  private static Slice slice(int tasks) throws MalformedJobException {
+    JobSpec spec = JobSpecCodec.decode(SimulatedCluster.job("req-1", "array", tasks));
     Slice s = new Slice(LAYOUT, false, 1, 3, "req-1");
     s.setResources(spec);
     s.assigned().set(0, tasks);
@@ -35,7 +37,7 @@
   }
 
   @Test
-  void comesBackAsItWas() throws JobSpec.MalformedJobException {
+  void comesBackAsItWas() throws MalformedJobException {
     Slice s = slice(20);
     s.done().set(3, 9);
     long number = s.nextAttemptNumber();
@@ -54,7 +56,7 @@
 
   /** Done slices outnumber the others while their jobs go on, and filled a part once. */
   @Test
-  void aDoneSliceTakesLittleHoweverScatteredItsTasks() throws JobSpec.MalformedJobException {
+  void aDoneSliceTakesLittleHoweverScatteredItsTasks() throws MalformedJobException {
     Slice s = slice(250);
     for (int t = 0; t < 250; t += 2) {
       s.assigned().clear(t);
@@ -102,7 +104,7 @@
   }
 
   @Test
-  void aClaimLeavesTheRest() throws JobSpec.MalformedJobException {
+  void aClaimLeavesTheRest() throws MalformedJobException {
     Slice s = slice(10);
     s.done().set(0);
     BitSet left = new BitSet();
