--- a/src/main/java/gladeknot/fleet/Fleet.java
+++ b/src/main/java/gladeknot/fleet/Fleet.java
@@ -9,6 +9,7 @@
 import gladeknot.membership.Membership;
 import gladeknot.outbox.Outbox;
 import gladeknot.policy.Policy;
+import gladeknot.scheduling.PendingDemand;
 import gladeknot.scheduling.Scheduler;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
@@ -188,7 +189,7 @@
     releases.step(now, wall);
     if (now >= nextRentMicros) {
       nextRentMicros = now + (long) (STEP_MICROS * slower) - STEP_MICROS / 2;
-      Scheduler.DemandQueue queue = placer.demandQueue();
+      List<PendingDemand> queue = placer.pendingDemand();
       rent(queue);
       lend(queue);
     }
@@ -231,12 +232,10 @@
   }
 
   /** Rents for our tasks that would start too late on the machines that are there or coming. */
-  private void rent(Scheduler.DemandQueue queue) {
-    policy.load(
-        workers.all().size(),
-        queue.pending().stream().mapToInt(Scheduler.PendingDemand::count).sum());
-    int last = queue.pending().size() - 1;
-    while (last >= 0 && !queue.pending().get(last).owned()) {
+  private void rent(List<PendingDemand> queue) {
+    policy.load(workers.all().size(), queue.stream().mapToInt(PendingDemand::count).sum());
+    int last = queue.size() - 1;
+    while (last >= 0 && !queue.get(last).owned()) {
       last--;
     }
     if (last < 0 || !offers.anyOpen(nowMicros)) {
@@ -248,7 +247,7 @@
     int looked = 0;
     int most = mostForecast();
     // What comes after our last need takes nothing from it.
-    for (Scheduler.PendingDemand need : queue.pending().subList(0, last + 1)) {
+    for (PendingDemand need : queue.subList(0, last + 1)) {
       JobSpec spec = need.job().spec();
       // What may be stopped for a task is no hindrance to it: lower ranks are put in after.
       forecast.admit(spec.priority());
@@ -266,7 +265,7 @@
       boolean anywhere = only < 0 && !spec.spread() && !spec.colocated();
       int i = 0;
       while (i < need.count() && looked < most) {
-        Forecast.Slot slot = need.starved() ? search.fresh(inZone) : search.best(inZone);
+        Forecast.Slot slot = need.starving() ? search.fresh(inZone) : search.best(inZone);
         long starts = search.startsMicros();
         long at = slot == null ? Forecast.NEVER : starts + slot.fetchMicros(spec);
         if (i < mine) {
@@ -427,8 +426,8 @@
    * Gives an empty worker to a shard whose gang waits for it. The worker has seen our term; its new
    * owner raises its own above it before it answers.
    */
-  private void lend(Scheduler.DemandQueue queue) {
-    for (Scheduler.PendingDemand need : queue.pending()) {
+  private void lend(List<PendingDemand> queue) {
+    for (PendingDemand need : queue) {
       JobSpec spec = need.job().spec();
       if (need.owned() || spec.shape() != JobSpec.Shape.GANG || need.count() < 2) {
         continue;
--- a/src/main/java/gladeknot/lifecycle/SpotReclaims.java
+++ b/src/main/java/gladeknot/lifecycle/SpotReclaims.java
@@ -4,9 +4,9 @@
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.membership.Membership;
-import gladeknot.scheduling.Preemption;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.RuntimeEstimates;
+import gladeknot.tasks.TerminationGrace;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
 import java.util.List;
@@ -79,7 +79,7 @@
 
   /** A gang is stopped as a whole: its progress is saved only if all its tasks are told. */
   private static void stop(Attempt attempt, JobSpec spec, Stopper stopper) {
-    double graceS = Preemption.graceS(spec);
+    double graceS = TerminationGrace.seconds(spec);
     if (spec.shape() != JobSpec.Shape.GANG) {
       stopper.stop(attempt, graceS);
       return;
--- a/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
@@ -19,12 +19,12 @@
 
   private final JobRegistry jobs;
   private final WorkerRegistry workers;
-  private final Scheduler.MachineTypes types;
+  private final MachineTypes types;
   private long cpus;
   private long gpus;
   private long nextCountMicros;
 
-  DeadlineCapacity(JobRegistry jobs, WorkerRegistry workers, Scheduler.MachineTypes types) {
+  DeadlineCapacity(JobRegistry jobs, WorkerRegistry workers, MachineTypes types) {
     this.jobs = jobs;
     this.workers = workers;
     this.types = types;
--- a/src/main/java/gladeknot/scheduling/HomeShardSelector.java
+++ b/src/main/java/gladeknot/scheduling/HomeShardSelector.java
@@ -22,7 +22,7 @@
   private final Membership membership;
   private final JobRegistry jobs;
   private final WorkerRegistry workers;
-  private final Scheduler.MachineTypes types;
+  private final MachineTypes types;
 
   /**
    * How long tasks of a class may wait for their start; classes without such an aim are left out.
@@ -35,7 +35,7 @@
       Membership membership,
       JobRegistry jobs,
       WorkerRegistry workers,
-      Scheduler.MachineTypes types) {
+      MachineTypes types) {
     for (Settings.Objective objective : settings.objectives()) {
       if (objective.kind().equals("wait")) {
         waitMicros.merge(objective.jobClass(), objective.withinMicros(), Math::min);
--- a/src/main/java/gladeknot/scheduling/Preemption.java
+++ b/src/main/java/gladeknot/scheduling/Preemption.java
@@ -8,6 +8,7 @@
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.Slice;
 import gladeknot.tasks.SliceRegistry;
+import gladeknot.tasks.TerminationGrace;
 import gladeknot.workers.Worker;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -23,10 +24,7 @@
  * Which tasks may be stopped for another: those of lower priority, and what another team runs
  * beyond its own guarantee where that brings a team its guarantee.
  */
-public final class Preemption {
-  /** Grace beyond {@code flushS}, for the way there and the worker's clock. */
-  private static final double GRACE_MARGIN_S = 0.5;
-
+final class Preemption {
   private static final double MICROS = 1e6;
 
   /** Finished tasks make room within a guarantee: so often that is looked at. */
@@ -229,14 +227,7 @@
   /** The grace with which a task is stopped: enough to save if it can, else none. */
   double graceS(Attempt a) {
     Job job = jobs.active(a.slice().job());
-    return job == null ? 0 : graceS(job.spec());
-  }
-
-  /** The same for a task of a job that goes on. */
-  public static double graceS(JobSpec spec) {
-    return spec.checkpointIntervalMicros() == 0
-        ? 0
-        : spec.checkpointMicros() / MICROS + GRACE_MARGIN_S;
+    return job == null ? 0 : TerminationGrace.seconds(job.spec());
   }
 
   /** Notes that a task is to be stopped. */
--- a/src/main/java/gladeknot/scheduling/Scheduler.java
+++ b/src/main/java/gladeknot/scheduling/Scheduler.java
@@ -15,7 +15,6 @@
 import gladeknot.tasks.Slice;
 import gladeknot.tasks.SliceRegistry;
 import gladeknot.tasks.TaskRequirements;
-import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
 import java.util.ArrayList;
@@ -63,26 +62,6 @@
   /** How long one shard after the other holds on to a budget that is too small for its gang. */
   private static final long TURN_MICROS = 10_000_000;
 
-  /** Names of machine types and what they are. */
-  public interface MachineTypes {
-    MachineType get(String name);
-  }
-
-  /**
-   * Tasks of one slice that wait for room; starved are those that are late for all their deadlines
-   * and that newer work keeps going before.
-   */
-  public record PendingDemand(
-      Job job,
-      int shard,
-      int count,
-      boolean owned,
-      boolean starved,
-      Map<String, Integer> tasksByZone) {}
-
-  /** All that waits for room, in the order in which it would get it. */
-  public record DemandQueue(List<PendingDemand> pending) {}
-
   private final Settings settings;
   private final Policy policy;
   private final Membership membership;
@@ -156,7 +135,7 @@
   }
 
   /** What waits in all shards. */
-  public DemandQueue demandQueue() {
+  public List<PendingDemand> pendingDemand() {
     starveMicros = policy.micros(Policy.Name.STARVE_AFTER);
     List<PendingSlice> all = new ArrayList<>();
     for (int shard = 0; shard < membership.shardCount(); shard++) {
@@ -205,7 +184,7 @@
                 zoneCounts(spec)));
       }
     }
-    return new DemandQueue(queue);
+    return queue;
   }
 
   /** How many more tasks of a spread job have a zone to go to. */
