--- a/src/main/java/gladeknot/scheduling/CandidateMachine.java
+++ b/src/main/java/gladeknot/scheduling/CandidateMachine.java
@@ -7,22 +7,19 @@
 import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
 
-/** What is free on a machine, while starts are being decided. */
+/**
+ * A machine in one scheduling cycle, with its free resources and those that terminating tasks still
+ * use. CPUs, GPUs and memory are in thousandths.
+ */
 final class CandidateMachine {
-  final Worker worker;
-  final MachineType type;
-
-  /** Free now. */
-  long freeCpus;
-
-  long freeGpus;
-  long freeMemory;
-
-  /** Held by tasks that have been told to stop. */
-  long terminatingCpus;
-
-  long terminatingGpus;
-  long terminatingMemory;
+  private final Worker worker;
+  private final MachineType type;
+  private long freeCpus;
+  private long freeGpus;
+  private long freeMemory;
+  private long terminatingCpus;
+  private long terminatingGpus;
+  private long terminatingMemory;
 
   private CandidateMachine(Worker worker, MachineType type) {
     this.worker = worker;
@@ -32,64 +29,103 @@
     this.freeMemory = type.memory();
   }
 
-  /** The room that attempts leave, and tasks on the machine that are no attempts of ours. */
+  /** A machine less what its open attempts and the unknown tasks in its last heartbeat use. */
   static CandidateMachine of(Worker worker, MachineType type) {
-    CandidateMachine room = new CandidateMachine(worker, type);
-    for (Attempt a : worker.attempts().values()) {
-      if (!a.closed()) {
-        room.allocate(a.slice().cpus(), a.slice().gpus(), a.slice().memory());
-        if (a.killRequested()) {
-          room.addTerminating(a.slice());
+    CandidateMachine machine = new CandidateMachine(worker, type);
+    for (Attempt attempt : worker.attempts().values()) {
+      if (!attempt.closed()) {
+        Slice slice = attempt.slice();
+        machine.allocate(slice.cpus(), slice.gpus(), slice.memory());
+        if (attempt.killRequested()) {
+          machine.addTerminating(slice);
         }
       }
     }
-    if (worker.heartbeat() != null) {
-      for (Heartbeat.TaskStatus t : worker.heartbeat().tasks()) {
-        Attempt a = worker.attempts().get(t.name());
-        if (!t.ended() && (a == null || a.number() != t.attempt())) {
-          // What a stray takes is not known here; it is being killed, nothing starts until then.
-          room.freeCpus = 0;
-        }
+    if (worker.heartbeat() != null && machine.runsUnknownTask()) {
+      // What such a task uses isn't known here. It is being killed; nothing starts until then.
+      machine.freeCpus = 0;
+    }
+    return machine;
+  }
+
+  private boolean runsUnknownTask() {
+    for (Heartbeat.TaskStatus task : worker.heartbeat().tasks()) {
+      Attempt attempt = worker.attempts().get(task.name());
+      if (!task.ended() && (attempt == null || attempt.number() != task.attempt())) {
+        return true;
       }
     }
-    return room;
+    return false;
+  }
+
+  Worker worker() {
+    return worker;
+  }
+
+  MachineType type() {
+    return type;
+  }
+
+  String zone() {
+    return worker.zone();
   }
 
-  void addTerminating(Slice s) {
-    terminatingCpus += s.cpus();
-    terminatingGpus += s.gpus();
-    terminatingMemory += s.memory();
+  /** The free part of all its CPUs; negative if more is allocated than there is. */
+  double freeCpuFraction() {
+    return (double) freeCpus / type.cpus();
   }
 
-  void allocate(long c, long g, long m) {
-    freeCpus -= c;
-    freeGpus -= g;
-    freeMemory -= m;
+  /** Counts a slice's task among those that are being terminated; its resources stay allocated. */
+  void addTerminating(Slice slice) {
+    terminatingCpus += slice.cpus();
+    terminatingGpus += slice.gpus();
+    terminatingMemory += slice.memory();
   }
 
+  void allocate(long cpus, long gpus, long memory) {
+    freeCpus -= cpus;
+    freeGpus -= gpus;
+    freeMemory -= memory;
+  }
+
+  /** Takes the resources of one task of a job. */
   void allocate(JobSpec spec) {
     allocate(spec.cpus(), spec.gpus(), spec.memory());
   }
 
+  /** Returns the resources of one task of a job. */
+  void release(JobSpec spec) {
+    allocate(-spec.cpus(), -spec.gpus(), -spec.memory());
+  }
+
+  /** How many tasks of a job fit into the free resources. */
   int capacityFor(JobSpec spec) {
     if (freeCpus < spec.cpus() || freeGpus < spec.gpus() || freeMemory < spec.memory()) {
       return 0;
     }
-    long n = Math.min(freeCpus / spec.cpus(), freeMemory / spec.memory());
+    long count = Math.min(freeCpus / spec.cpus(), freeMemory / spec.memory());
     if (spec.gpus() > 0) {
-      n = Math.min(n, freeGpus / spec.gpus());
+      count = Math.min(count, freeGpus / spec.gpus());
     }
-    return (int) n;
+    return (int) count;
   }
 
-  /** Whether a task fits once those that are stopping have gone. */
+  /** Whether a task fits once the terminating ones have exited. */
   boolean fitsAfterTermination(JobSpec spec) {
-    return freeCpus + terminatingCpus >= spec.cpus()
-        && freeGpus + terminatingGpus >= spec.gpus()
-        && freeMemory + terminatingMemory >= spec.memory();
+    return cpusAfterTermination() >= spec.cpus()
+        && gpusAfterTermination() >= spec.gpus()
+        && memoryAfterTermination() >= spec.memory();
+  }
+
+  long cpusAfterTermination() {
+    return freeCpus + terminatingCpus;
+  }
+
+  long gpusAfterTermination() {
+    return freeGpus + terminatingGpus;
   }
 
-  boolean satisfiesConstraints(JobSpec spec) {
-    return spec.allowsMachine(worker.type(), worker.zone(), worker.spot());
+  long memoryAfterTermination() {
+    return freeMemory + terminatingMemory;
   }
 }
--- a/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
@@ -31,7 +31,7 @@
   }
 
   /** How many tasks of a job could be at work at once. */
-  int places(JobSpec spec, long nowMicros, long wallMicros) {
+  int taskSlots(JobSpec spec, long nowMicros, long wallMicros) {
     if (nowMicros >= nextCountMicros) {
       nextCountMicros = nowMicros + COUNT_MICROS;
       count(wallMicros);
--- a/src/main/java/gladeknot/scheduling/DeadlineOrder.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineOrder.java
@@ -114,7 +114,7 @@
   }
 
   /** Whether a job is late for all its deadlines, however soon its tasks run. */
-  boolean late(Job job, long wallMicros) {
+  boolean isLate(Job job, long wallMicros) {
     double last = 0;
     for (double time : known.getOrDefault(job.spec().jobClass(), Map.of()).keySet()) {
       last = Math.max(last, time);
--- a/src/main/java/gladeknot/scheduling/Preemption.java
+++ b/src/main/java/gladeknot/scheduling/Preemption.java
@@ -4,243 +4,178 @@
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.policy.Policy;
-import gladeknot.settings.Settings;
 import gladeknot.tasks.Attempt;
-import gladeknot.tasks.Slice;
-import gladeknot.tasks.SliceRegistry;
 import gladeknot.tasks.TerminationGrace;
 import gladeknot.workers.Worker;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
 
 /**
- * Which tasks may be stopped for another: those of lower priority, and what another team runs
- * beyond its own guarantee where that brings a team its guarantee.
+ * Which tasks may be preempted for a job: those of lower priority, and what another team runs
+ * beyond its own guarantee if that brings the job's team its guarantee.
  */
 final class Preemption {
-  private static final double MICROS = 1e6;
+  private static final double MICROS_PER_SECOND = 1e6;
 
-  /** Finished tasks make room within a guarantee: so often that is looked at. */
-  private static final long GUARANTEED_MICROS = 250_000;
+  /** What is lost with a task that isn't known to run yet. */
+  private static final double NOT_RUNNING_LOSS_S = 0.5;
+
+  /** Work done while a preempted task makes its last checkpoint, and is started again from it. */
+  private static final double CHECKPOINT_OVERHEAD_S = 2;
+
+  /** Any restart costs so much, however short the task ran. */
+  private static final double RESTART_LOSS_S = 1;
+
+  /** GPUs are counted in thousandths: a task with one GPU loses twice as much as one without. */
+  private static final double GPU_UNIT = 1000.0;
 
-  private final Settings settings;
   private final Policy policy;
   private final JobRegistry jobs;
-  private final SliceRegistry slices;
-  private final Function<Job, JobSpec.Priority> rankOf;
+  private final TeamGuarantees guarantees;
+  private final Function<Job, JobSpec.Priority> inheritedPriority;
 
-  /** CPUs and GPUs by team over all shards, worked out anew for each pass. */
-  private final Map<String, long[]> used = new HashMap<>();
-
-  private final Set<String> guaranteed = new HashSet<>();
-  private boolean equalRanks;
-  private long seenChanges = -1;
-  private long nextGuaranteedMicros;
+  /** What was found in this cycle on whether there is any victim for a request. */
+  private final Map<PreemptionRequest, Boolean> hasVictims = new HashMap<>();
 
   /**
-   * A job keeps what it has by the rank that {@code rankOf} says, which may come from a job that
-   * waits for it; others are stopped for it by its own rank alone.
+   * A running job is protected by its inherited priority, which may come from a job that depends on
+   * it; it preempts others by its own priority alone.
    */
   Preemption(
-      Settings settings,
       Policy policy,
       JobRegistry jobs,
-      SliceRegistry slices,
-      Function<Job, JobSpec.Priority> rankOf) {
-    this.rankOf = rankOf;
-    this.settings = settings;
+      TeamGuarantees guarantees,
+      Function<Job, JobSpec.Priority> inheritedPriority) {
     this.policy = policy;
     this.jobs = jobs;
-    this.slices = slices;
+    this.guarantees = guarantees;
+    this.inheritedPriority = inheritedPriority;
   }
 
-  /** Victims on one machine and what stopping them loses, in seconds of work. */
-  record Plan(List<Attempt> victims, double lossS) {}
-
-  static final Plan NOTHING = new Plan(List.of(), 0);
+  /**
+   * Victims on one machine.
+   *
+   * @param victims the tasks to preempt; empty if the resources are being freed anyway
+   * @param lossS what their preemption loses, in seconds of work
+   */
+  record Plan(List<Attempt> victims, double lossS) {
+    /** Nothing needs to be preempted. */
+    static final Plan NONE = new Plan(List.of(), 0);
+  }
 
-  /** Counts anew what each team uses, and now and then which jobs are within a guarantee. */
-  void refresh(int shards, long nowMicros) {
-    if (jobs.changeCount() != seenChanges || nowMicros >= nextGuaranteedMicros) {
-      seenChanges = jobs.changeCount();
-      nextGuaranteedMicros = nowMicros + GUARANTEED_MICROS;
-      findGuaranteed();
-    }
-    used.clear();
-    for (int shard = 0; shard < shards; shard++) {
-      for (Slice s : slices.inShard(shard)) {
-        int live = s.liveCount();
-        if (live > 0) {
-          long[] sum = used.computeIfAbsent(s.team(), t -> new long[2]);
-          sum[0] += s.cpus() * live;
-          sum[1] += s.gpus() * live;
-        }
-      }
-    }
+  /** A scheduling cycle begins: victims are searched anew. */
+  void beginCycle() {
+    hasVictims.clear();
   }
 
-  private long[] used(String team) {
-    return used.computeIfAbsent(team, t -> new long[2]);
+  /** What a job may preempt; {@code equalPriority} as in {@link PreemptionRequest}. */
+  PreemptionRequest request(JobSpec spec, boolean equalPriority) {
+    return new PreemptionRequest(
+        spec.priority(), spec.team(), guarantees.isGuaranteed(spec.id()), equalPriority);
   }
 
   /**
-   * Whether a job fits into its team's guarantee together with the team's earlier unfinished jobs.
-   * Such a job goes before others of its priority, and only jobs that are not like that may be
-   * stopped for it: so nothing is stopped by turns.
+   * Whether any task on the workers may be preempted. Most often there is none, and one search in
+   * each cycle shows that for all jobs with an equal request.
    */
-  boolean guaranteed(String job) {
-    return guaranteed.contains(job);
+  boolean hasVictims(PreemptionRequest request, Collection<Worker> workers, long nowMicros) {
+    return hasVictims.computeIfAbsent(request, key -> searchVictim(key, workers, nowMicros));
   }
 
-  private void findGuaranteed() {
-    guaranteed.clear();
-    Map<String, long[]> sums = new HashMap<>();
-    List<Job> order = new ArrayList<>(jobs.active());
-    order.sort(Comparator.comparingLong(Job::submittedMicros).thenComparing(Job::id));
-    for (Job job : order) {
-      JobSpec spec = job.spec();
-      Settings.Team team = settings.teams().get(spec.team());
-      long open = job.tasks();
-      for (Slice s : slices.inShard(job.id())) {
-        open -= s.done().cardinality();
-      }
-      long[] sum = sums.computeIfAbsent(spec.team(), t -> new long[2]);
-      sum[0] += spec.cpus() * open;
-      sum[1] += spec.gpus() * open;
-      if (team != null && sum[0] <= team.cpus() && (spec.gpus() == 0 || sum[1] <= team.gpus())) {
-        guaranteed.add(job.id());
+  private boolean searchVictim(
+      PreemptionRequest request, Collection<Worker> workers, long nowMicros) {
+    for (Worker worker : workers) {
+      for (Attempt attempt : worker.attempts().values()) {
+        if (isPreemptible(attempt, request, nowMicros)) {
+          return true;
+        }
       }
     }
+    return false;
   }
 
-  /** Whether a team keeps its guarantee without a task. */
-  private boolean beyondGuarantee(Slice s) {
-    Settings.Team team = settings.teams().get(s.team());
-    long[] u = used(s.team());
-    return team != null
-        && u[0] - s.cpus() >= team.cpus()
-        && (s.gpus() == 0 || u[1] - s.gpus() >= team.gpus());
-  }
-
-  private boolean mayStop(JobSpec spec, Attempt a, long nowMicros) {
-    Job job = jobs.active(a.slice().job());
-    if (job == null || a.closed() || a.killRequested() || !a.committed()) {
+  private boolean isPreemptible(Attempt attempt, PreemptionRequest request, long nowMicros) {
+    Job job = jobs.active(attempt.slice().job());
+    if (job == null || attempt.closed() || attempt.killRequested() || !attempt.committed()) {
       return false;
     }
-    if (rankOf.apply(job).ordinal() > spec.priority().ordinal()) {
+    int priority = request.priority().ordinal();
+    if (inheritedPriority.apply(job).ordinal() > priority) {
       return true;
     }
-    return equalRanks
-        && !job.spec().team().equals(spec.team())
-        && job.spec().priority().ordinal() >= spec.priority().ordinal()
-        && guaranteed(spec.id())
-        && !guaranteed(job.id())
-        && lossS(a, nowMicros) <= policy.number(Policy.Name.YOUNG)
-        && beyondGuarantee(a.slice());
+    return request.equalPriority()
+        && !job.spec().team().equals(request.team())
+        && job.spec().priority().ordinal() >= priority
+        && request.guaranteed()
+        && !guarantees.isGuaranteed(job.id())
+        && lossS(attempt, nowMicros) <= policy.number(Policy.Name.YOUNG)
+        && guarantees.isBeyondGuarantee(attempt.slice());
   }
 
-  private record Asker(
-      JobSpec.Priority rank, String team, boolean guaranteed, boolean equalRanks) {}
-
-  private final Map<Asker, Boolean> victims = new HashMap<>();
-
-  /** Whether work of the same rank may be stopped for what is looked at next. */
-  void patience(boolean over) {
-    equalRanks = over;
-  }
-
-  /** A new pass begins: what may be stopped is looked at anew. */
-  void forgetVictims() {
-    victims.clear();
-  }
-
-  /** Whether anything may be stopped for a job at all: most often nothing, and one look tells. */
-  boolean anyVictim(JobSpec spec, Collection<Worker> workers, long nowMicros) {
-    return victims.computeIfAbsent(
-        new Asker(spec.priority(), spec.team(), guaranteed(spec.id()), equalRanks),
-        asker -> {
-          for (Worker w : workers) {
-            for (Attempt a : w.attempts().values()) {
-              if (mayStop(spec, a, nowMicros)) {
-                return true;
-              }
-            }
-          }
-          return false;
-        });
-  }
-
-  /** What stopping a task loses, in seconds of its machine's work. */
-  private double lossS(Attempt a, long nowMicros) {
-    if (a.runningSinceMicros() == 0) {
-      return 0.5;
+  /** What the preemption of a task loses, in seconds of its machine's work. */
+  private double lossS(Attempt attempt, long nowMicros) {
+    if (attempt.runningSinceMicros() == 0) {
+      return NOT_RUNNING_LOSS_S;
     }
-    JobSpec spec = jobs.active(a.slice().job()).spec();
-    double ran = (nowMicros - a.runningSinceMicros()) / MICROS;
-    double lost =
+    JobSpec spec = jobs.active(attempt.slice().job()).spec();
+    double ranS = (nowMicros - attempt.runningSinceMicros()) / MICROS_PER_SECOND;
+    double lostS =
         spec.checkpointIntervalMicros() > 0
-            ? Math.min(ran, 2 + spec.checkpointMicros() / MICROS)
-            : ran;
-    // What takes more of the machine loses more with it.
-    return (lost + 1) * (1 + a.slice().gpus() / 1000.0);
+            ? Math.min(ranS, CHECKPOINT_OVERHEAD_S + spec.checkpointMicros() / MICROS_PER_SECOND)
+            : ranS;
+    // A task that uses more of the machine loses more of its work.
+    return (lostS + RESTART_LOSS_S) * (1 + attempt.slice().gpus() / GPU_UNIT);
   }
 
-  /** The cheapest victims that make room for a task on a machine; null if that can't be. */
-  Plan plan(CandidateMachine room, JobSpec spec, Set<Attempt> taken, long nowMicros) {
-    List<Attempt> able = new ArrayList<>();
-    for (Attempt a : room.worker.attempts().values()) {
-      if (!taken.contains(a) && mayStop(spec, a, nowMicros)) {
-        able.add(a);
+  /**
+   * The victims with the least loss that make a machine fit for a task; null if there are none.
+   *
+   * @param alreadyChosen attempts that are victims for other tasks
+   */
+  Plan plan(
+      CandidateMachine machine,
+      JobSpec spec,
+      PreemptionRequest request,
+      Set<Attempt> alreadyChosen,
+      long nowMicros) {
+    List<Attempt> preemptible = new ArrayList<>();
+    for (Attempt attempt : machine.worker().attempts().values()) {
+      if (!alreadyChosen.contains(attempt) && isPreemptible(attempt, request, nowMicros)) {
+        preemptible.add(attempt);
       }
     }
-    able.sort(Comparator.comparingDouble(a -> lossS(a, nowMicros)));
-    long c = room.freeCpus + room.terminatingCpus - spec.cpus();
-    long g = room.freeGpus + room.terminatingGpus - spec.gpus();
-    long m = room.freeMemory + room.terminatingMemory - spec.memory();
+    if (preemptible.isEmpty()) {
+      return machine.fitsAfterTermination(spec) ? Plan.NONE : null;
+    }
+    preemptible.sort(Comparator.comparingDouble(attempt -> lossS(attempt, nowMicros)));
+    return cheapest(preemptible, new ResourceShortfall(machine, spec), nowMicros);
+  }
+
+  private Plan cheapest(List<Attempt> byLoss, ResourceShortfall shortfall, long nowMicros) {
     List<Attempt> victims = new ArrayList<>();
-    double loss = 0;
-    for (Attempt a : able) {
-      if (c >= 0 && g >= 0 && m >= 0) {
+    double totalLossS = 0;
+    for (Attempt attempt : byLoss) {
+      if (shortfall.isCovered()) {
         break;
       }
-      Slice s = a.slice();
-      boolean helps =
-          (c < 0 && s.cpus() > 0) || (g < 0 && s.gpus() > 0) || (m < 0 && s.memory() > 0);
-      if (helps) {
-        victims.add(a);
-        loss += lossS(a, nowMicros);
-        c += s.cpus();
-        g += s.gpus();
-        m += s.memory();
+      if (shortfall.isReducedBy(attempt.slice())) {
+        victims.add(attempt);
+        totalLossS += lossS(attempt, nowMicros);
+        shortfall.reduceBy(attempt.slice());
       }
     }
-    return c >= 0 && g >= 0 && m >= 0 ? new Plan(victims, loss) : null;
+    return shortfall.isCovered() ? new Plan(victims, totalLossS) : null;
   }
 
-  /** The grace with which a task is stopped: enough to save if it can, else none. */
-  double graceS(Attempt a) {
-    Job job = jobs.active(a.slice().job());
+  /** The grace period of a victim in seconds: long enough for a checkpoint if it makes any. */
+  double graceS(Attempt attempt) {
+    Job job = jobs.active(attempt.slice().job());
     return job == null ? 0 : TerminationGrace.seconds(job.spec());
   }
-
-  /** Notes that a task is to be stopped. */
-  void stopped(Attempt a) {
-    long[] u = used(a.slice().team());
-    u[0] -= a.slice().cpus();
-    u[1] -= a.slice().gpus();
-  }
-
-  /** Notes that a task is to be started. */
-  void started(JobSpec spec) {
-    long[] u = used(spec.team());
-    u[0] += spec.cpus();
-    u[1] += spec.gpus();
-  }
 }
--- a/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
@@ -35,7 +35,7 @@
     Map<String, Object> job = SimulatedCluster.job("req-1", "array", 8);
     job.put("cores", cpus);
     job.put("accelerators", gpus);
-    assertEquals(places, capacity.places(JobSpec.parse(job), NOW, NOW));
+    assertEquals(places, capacity.taskSlots(JobSpec.parse(job), NOW, NOW));
   }
 
   private static void enter(WorkerRegistry workers, int number, String type) {
