--- a/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import gladeknot.jobs.JobRegistry;
-import gladeknot.jobs.JobSpecCodec;
 import gladeknot.jobs.MalformedJobException;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.state.Entry;
@@ -37,7 +36,7 @@
     Map<String, Object> job = SimulatedCluster.job("req-1", "array", 8);
     job.put("cores", cpus);
     job.put("accelerators", gpus);
-    assertEquals(places, capacity.places(JobSpecCodec.decode(job), NOW, NOW));
+    assertEquals(places, capacity.taskSlots(JobSpecCodec.decode(job), NOW, NOW));
   }
 
   private static void enter(WorkerRegistry workers, int number, String type) {
