--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -7,6 +7,7 @@
 import gladeknot.connectivity.FailoverAdvisor;
 import gladeknot.connectivity.HeartbeatObserver;
 import gladeknot.fleet.Fleet;
+import gladeknot.fleet.InstanceCatalog;
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobRequestHandler;
@@ -55,6 +56,7 @@
   private final TaskLifecycle scheduler;
   private final Scheduler placer;
   private final QuotaAllocator budgets;
+  private final InstanceCatalog catalog = new InstanceCatalog();
   private final Fleet fleet;
   private final HomeShardSelector homes;
   private final String nodeName;
@@ -104,9 +106,6 @@
             this::cacheGb,
             tracer);
     budgets = new QuotaAllocator(settings, stateStore, membership, slices, recordWriter, outbox);
-    fleet =
-        new Fleet(
-            settings, policy, stateStore, membership, workers, recordWriter, scheduler, outbox);
     placer =
         new Scheduler(
             settings,
@@ -118,10 +117,21 @@
             recordWriter,
             budgets,
             scheduler,
-            fleet::type,
-            fleet::zonesOffered);
-    fleet.setPlacer(placer);
-    homes = new HomeShardSelector(settings, membership, jobs, workers, fleet::type);
+            catalog::type,
+            catalog::zones);
+    fleet =
+        new Fleet(
+            settings,
+            policy,
+            stateStore,
+            membership,
+            workers,
+            recordWriter,
+            scheduler,
+            outbox,
+            catalog,
+            new FleetSchedulerView(placer));
+    homes = new HomeShardSelector(settings, membership, jobs, workers, catalog::type);
     recordWriter.afterCommit(
         () -> {
           scheduler.requestScheduling();
@@ -150,7 +160,7 @@
   }
 
   private double cacheGb(String type) {
-    MachineType t = fleet.type(type);
+    MachineType t = catalog.type(type);
     return t == null ? 0 : t.cacheGb();
   }
 
@@ -236,7 +246,7 @@
   }
 
   private void health(long id) {
-    if (stateStore.loaded() && membership.mayAct() && fleet.typesKnown()) {
+    if (stateStore.loaded() && membership.mayAct() && catalog.isKnown()) {
       outbox.answer(id, 200, Json.of("ok", true));
     } else {
       outbox.retryLater(id, 503, "not ready", 1);
@@ -354,12 +364,12 @@
   private final class JobSurroundings implements JobRequestHandler.ClusterView {
     @Override
     public boolean typesKnown() {
-      return fleet.typesKnown();
+      return catalog.isKnown();
     }
 
     @Override
     public boolean fitsSomeType(JobSpec spec) {
-      return fleet.fitsSomeType(spec);
+      return catalog.fitsSomeType(spec);
     }
 
     @Override
--- a/src/main/java/gladeknot/fleet/Capacity.java
+++ b/src/main/java/gladeknot/fleet/Capacity.java
@@ -1,7 +1,6 @@
 package gladeknot.fleet;
 
 import gladeknot.jobs.JobSpec;
-import gladeknot.workers.MachineType;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -10,170 +9,127 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Puts tasks into empty machines in thought, the cheapest machines first. */
+/** Packs expected tasks into the machines as if they were empty (first fit), the cheapest first. */
 final class Capacity {
-  /** A machine, there or coming. */
-  static final class Box {
-    final String host;
-    final MachineType type;
-    final String zone;
-    final boolean spot;
-
-    /** How many replicas of services are on it, which stay until their jobs are over. */
-    private final int replicas;
-
-    private long cpus;
-    private long gpus;
-    private long memory;
-    private boolean used;
-
-    Box(String host, MachineType type, String zone, boolean spot, int replicas) {
-      this.host = host;
-      this.replicas = replicas;
-      this.type = type;
-      this.zone = zone;
-      this.spot = spot;
-      this.cpus = type.cpus();
-      this.gpus = type.gpus();
-      this.memory = type.memory();
-    }
-
-    boolean used() {
-      return used;
-    }
-
-    private boolean fits(JobSpec spec) {
-      return spec.allowsMachine(type.name(), zone, spot)
-          && cpus >= spec.cpus()
-          && gpus >= spec.gpus()
-          && memory >= spec.memory();
-    }
-
-    private boolean take(JobSpec spec) {
-      if (!fits(spec)) {
-        return false;
-      }
-      cpus -= spec.cpus();
-      gpus -= spec.gpus();
-      memory -= spec.memory();
-      used = true;
-      return true;
-    }
-
-    private double pricePerCpu() {
-      return type.price(spot) / type.cpus();
+  /** What decides whether a machine takes a task; many jobs share it. */
+  private record Requirements(
+      long cpus,
+      long gpus,
+      long memory,
+      List<String> machineTypes,
+      boolean spotAllowed,
+      boolean service) {
+    private static Requirements of(JobSpec spec) {
+      return new Requirements(
+          spec.cpus(),
+          spec.gpus(),
+          spec.memory(),
+          spec.machineTypes(),
+          spec.spotAllowed(),
+          spec.shape() == JobSpec.Shape.SERVICE);
     }
   }
 
-  private final List<Box> boxes = new ArrayList<>();
+  private final List<MachineBin> bins = new ArrayList<>();
   private final Set<String> zones = new LinkedHashSet<>();
 
-  void add(Box box) {
-    boxes.add(box);
-    zones.add(box.zone);
+  /**
+   * The first bin of each zone that may still take a task of certain requirements. Bins only fill
+   * up, so those before it need no second evaluation: evaluating each of them for every replica was
+   * most of what planning for a large fleet took.
+   */
+  private final Map<Requirements, Map<String, Integer>> firstFits = new HashMap<>();
+
+  private long evaluations;
+
+  /** Adds a machine after those that there are. */
+  void add(MachineBin bin) {
+    bins.add(bin);
+    zones.add(bin.zone());
   }
 
   /**
-   * Puts the cheapest first, of those the ones that replicas keep in any case, so that the others
-   * run empty; only while nothing is in them.
+   * Puts the cheapest bins first, of those the ones that replicas keep in any case, so that the
+   * others run empty. Only while nothing is packed.
    */
   void sort() {
-    boxes.sort(
-        Comparator.<Box>comparingInt(b -> b.type.gpus() > 0 ? 1 : 0)
-            .thenComparingDouble(Box::pricePerCpu)
-            .thenComparing(b -> -b.replicas)
-            .thenComparing(b -> b.host));
+    bins.sort(
+        Comparator.<MachineBin>comparingInt(bin -> bin.hasGpus() ? 1 : 0)
+            .thenComparingDouble(MachineBin::pricePerCpu)
+            .thenComparing(bin -> -bin.replicas())
+            .thenComparing(MachineBin::host));
   }
 
-  /** What decides whether a machine takes a task; many jobs share it. */
-  private record Kind(
-      long cpus, long gpus, long memory, List<String> types, boolean spot, boolean service) {
-    private Kind(JobSpec spec) {
-      this(
-          spec.cpus(),
-          spec.gpus(),
-          spec.memory(),
-          spec.machineTypes(),
-          spec.spotAllowed(),
-          spec.shape() == JobSpec.Shape.SERVICE);
-    }
+  /** The bins in the order in which they are filled. */
+  List<MachineBin> bins() {
+    return bins;
   }
 
-  /**
-   * The first machine of each zone that may still take a task of a kind. Machines only fill up, so
-   * those before it need no second look: one look at each of them for every replica was most of
-   * what planning for a large fleet took.
-   */
-  private final Map<Kind, Map<String, Integer>> firsts = new HashMap<>();
-
-  private long looks;
+  /** How many times a bin was evaluated for a task. */
+  long evaluations() {
+    return evaluations;
+  }
 
-  /** How many times a machine was looked at for a task. */
-  long looks() {
-    return looks;
+  /** Packs one task and counts it in its zone; false if no machine takes it. */
+  boolean place(JobSpec spec, Map<String, Integer> tasksByZone) {
+    return place(spec, tasksByZone, firstFits(spec));
   }
 
-  /** The first machine of a zone that has room for a task; its place, or the number of all. */
-  private int first(JobSpec spec, Map<String, Integer> places, String zone) {
-    int i = places.getOrDefault(zone, 0);
-    while (i < boxes.size() && !(boxes.get(i).zone.equals(zone) && takes(boxes.get(i), spec))) {
-      i++;
+  /** Packs tasks of one job, as many as machines take; returns how many that were. */
+  int place(JobSpec spec, int count, Map<String, Integer> tasksByZone) {
+    Map<String, Integer> firstFitByZone = firstFits(spec);
+    int placed = 0;
+    while (placed < count && place(spec, tasksByZone, firstFitByZone)) {
+      placed++;
     }
-    places.put(zone, i);
-    return i;
+    return placed;
   }
 
-  private boolean takes(Box box, JobSpec spec) {
-    looks++;
-    boolean wasteful =
-        spec.shape() == JobSpec.Shape.SERVICE && spec.gpus() == 0 && box.type.gpus() > 0;
-    return !wasteful && box.fits(spec);
+  /** Packs tasks into one machine; returns how many it took. */
+  int fill(MachineBin bin, JobSpec spec, Map<String, Integer> tasksByZone, int count) {
+    int placed = 0;
+    while (placed < count && spec.allowsZone(bin.zone(), tasksByZone) && bin.add(spec)) {
+      tasksByZone.merge(bin.zone(), 1, Integer::sum);
+      placed++;
+    }
+    return placed;
   }
 
-  /** Puts one task in; false if no machine takes it. */
-  boolean put(JobSpec spec, Map<String, Integer> inZone) {
-    return put(spec, inZone, firsts.computeIfAbsent(new Kind(spec), k -> new HashMap<>()));
+  private Map<String, Integer> firstFits(JobSpec spec) {
+    return firstFits.computeIfAbsent(Requirements.of(spec), absent -> new HashMap<>());
   }
 
-  private boolean put(JobSpec spec, Map<String, Integer> inZone, Map<String, Integer> places) {
-    int best = boxes.size();
+  private boolean place(
+      JobSpec spec, Map<String, Integer> tasksByZone, Map<String, Integer> firstFitByZone) {
+    int best = bins.size();
     for (String zone : zones) {
       boolean allowed = spec.zone() == null || spec.zone().equals(zone);
-      if (allowed && spec.allowsZone(zone, inZone)) {
-        best = Math.min(best, first(spec, places, zone));
+      if (allowed && spec.allowsZone(zone, tasksByZone)) {
+        best = Math.min(best, firstFit(spec, firstFitByZone, zone));
       }
     }
-    if (best == boxes.size()) {
+    if (best == bins.size()) {
       return false;
     }
-    boxes.get(best).take(spec);
-    inZone.merge(boxes.get(best).zone, 1, Integer::sum);
+    MachineBin bin = bins.get(best);
+    bin.add(spec);
+    tasksByZone.merge(bin.zone(), 1, Integer::sum);
     return true;
   }
 
-  /**
-   * Puts many tasks of one job in, as far as machines take them; returns how many found a place.
-   */
-  int put(JobSpec spec, int count, Map<String, Integer> inZone) {
-    Map<String, Integer> places = firsts.computeIfAbsent(new Kind(spec), k -> new HashMap<>());
-    int n = 0;
-    while (n < count && put(spec, inZone, places)) {
-      n++;
-    }
-    return n;
-  }
-
-  /** Puts tasks in one machine; returns how many it took. */
-  int fill(Box box, JobSpec spec, Map<String, Integer> inZone, int count) {
-    int n = 0;
-    while (n < count && spec.allowsZone(box.zone, inZone) && box.take(spec)) {
-      inZone.merge(box.zone, 1, Integer::sum);
-      n++;
+  /** The place of a zone's first bin that takes a task; the number of all bins if none does. */
+  private int firstFit(JobSpec spec, Map<String, Integer> firstFitByZone, String zone) {
+    int i = firstFitByZone.getOrDefault(zone, 0);
+    while (i < bins.size() && !(bins.get(i).zone().equals(zone) && takes(bins.get(i), spec))) {
+      i++;
     }
-    return n;
+    firstFitByZone.put(zone, i);
+    return i;
   }
 
-  List<Box> boxes() {
-    return boxes;
+  private boolean takes(MachineBin bin, JobSpec spec) {
+    evaluations++;
+    boolean idleGpus = spec.shape() == JobSpec.Shape.SERVICE && spec.gpus() == 0 && bin.hasGpus();
+    return !idleGpus && bin.fits(spec);
   }
 }
--- /dev/null
+++ b/src/main/java/gladeknot/fleet/CloudCodec.java
@@ -0,0 +1,135 @@
+package gladeknot.fleet;
+
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
+import gladeknot.workers.MachineType;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Requests to the cloud and its replies, between JSON and typed messages. The only place with the
+ * cloud's words: hire = scale-out request, hosttype = machine type, glade = zone, loaners = spot.
+ */
+final class CloudCodec {
+  static final String MACHINE_TYPES_PATH = "/machine_types";
+  static final String INSTANCES_PATH = "/rentals";
+  static final String RELEASE_PATH = "/rentals/release";
+
+  /** How many instances one page of the list holds at most. */
+  private static final int PAGE_SIZE = 500;
+
+  private static final int UNAVAILABLE = 503;
+
+  /** What the cloud calls an outage of its own, as opposed to a lack of instances. */
+  private static final String OUTAGE = "trouble";
+
+  private static final String FAILED_PHASE = "failed";
+  private static final double THOUSANDTHS = 1000;
+  private static final double MICROS_PER_S = 1e6;
+
+  /** Assumed where a listed type lacks its fetch rate. */
+  private static final double DEFAULT_FETCH_GB_PER_S = 0.1;
+
+  /** Assumed where a listed type lacks its boot time. */
+  private static final double DEFAULT_READY_S = 30;
+
+  private CloudCodec() {}
+
+  /**
+   * The cloud's answer to a scale-out request.
+   *
+   * @param httpStatus the status; 0 if no answer arrived, and the request may have been fulfilled
+   * @param hosts names of the instances that were started
+   * @param outOfCapacity whether the cloud lacks instances, rather than being out of order
+   */
+  record ScaleOutResponse(int httpStatus, List<String> hosts, boolean outOfCapacity) {
+    boolean answered() {
+      return httpStatus != 0;
+    }
+
+    boolean fulfils(int count) {
+      return httpStatus == 200 && hosts.size() >= count;
+    }
+  }
+
+  /**
+   * An instance as the cloud lists it. Texts that the cloud left out are null.
+   *
+   * @param failed whether the cloud says that the instance failed
+   */
+  record ListedInstance(
+      String host, String endpoint, String type, String zone, boolean spot, boolean failed) {}
+
+  /** A page of the cloud's list; {@code more} says that further instances follow. */
+  record InstancePage(List<ListedInstance> instances, boolean more) {}
+
+  /** The body of a scale-out request. */
+  static Map<String, Object> scaleOutRequest(ScaleOutRequest request) {
+    return Json.of(
+        "hire", request.name(),
+        "hosttype", request.offering().type().name(),
+        "glade", request.offering().zone(),
+        "loaners", request.offering().spot(),
+        "number", request.count());
+  }
+
+  static ScaleOutResponse scaleOutResponse(Outbox.Reply reply) {
+    Map<String, Object> body = reply.object();
+    boolean outage = OUTAGE.equals(Json.text(body, "error"));
+    return new ScaleOutResponse(
+        reply.status(), Json.texts(body, "hosts"), reply.status() == UNAVAILABLE && !outage);
+  }
+
+  /** The body of a request to release instances. */
+  static Map<String, Object> releaseRequest(List<String> hosts) {
+    return Json.of("hosts", hosts);
+  }
+
+  /** The path of a page of the list: the instances after a host, or the first ones if empty. */
+  static String instancePagePath(String afterHost) {
+    String from = afterHost.isEmpty() ? "" : "from=" + afterHost + "&";
+    return INSTANCES_PATH + "?" + from + "most=" + PAGE_SIZE;
+  }
+
+  static InstancePage instancePage(Outbox.Reply reply) {
+    Map<String, Object> body = reply.object();
+    List<ListedInstance> instances = new ArrayList<>();
+    for (Map<String, Object> instance : Json.objects(body, "hosts")) {
+      instances.add(listedInstance(instance));
+    }
+    return new InstancePage(instances, Json.flag(body, "more"));
+  }
+
+  private static ListedInstance listedInstance(Map<String, Object> instance) {
+    return new ListedInstance(
+        Json.text(instance, "id"),
+        Json.text(instance, "endpoint"),
+        Json.text(instance, "hosttype"),
+        Json.text(instance, "glade"),
+        Json.flag(instance, "loaners"),
+        FAILED_PHASE.equals(Json.text(instance, "phase")));
+  }
+
+  static List<MachineType> machineTypes(Outbox.Reply reply) {
+    List<MachineType> types = new ArrayList<>();
+    for (Map<String, Object> type : Json.objects(reply.object(), "hosttypes")) {
+      types.add(machineType(type));
+    }
+    return types;
+  }
+
+  private static MachineType machineType(Map<String, Object> type) {
+    return new MachineType(
+        Json.text(type, "label"),
+        Math.round(Json.real(type, "cores", 0) * THOUSANDTHS),
+        Math.round(Json.real(type, "accelerators", 0) * THOUSANDTHS),
+        Math.round(Json.real(type, "memoryGb", 0) * THOUSANDTHS),
+        Json.real(type, "cacheGb", 0),
+        Json.real(type, "fetchGbPerS", DEFAULT_FETCH_GB_PER_S),
+        Json.real(type, "rate", 0),
+        Json.real(type, "marketPrice", 0),
+        (long) (Json.real(type, "readyS", DEFAULT_READY_S) * MICROS_PER_S),
+        Json.texts(type, "glades"));
+  }
+}
--- /dev/null
+++ b/src/main/java/gladeknot/fleet/ForecastBuilder.java
@@ -0,0 +1,119 @@
+package gladeknot.fleet;
+
+import gladeknot.membership.Membership;
+import gladeknot.tasks.Attempt;
+import gladeknot.tasks.Slice;
+import gladeknot.workers.MachineType;
+import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerRegistry;
+
+/**
+ * Builds forecasts of the machines of all shards, as far as the followed copy and heartbeats tell.
+ */
+final class ForecastBuilder {
+  /** From when on an owned worker that should be up counts, at the earliest. */
+  private static final long MIN_START_MICROS = 1_000_000;
+
+  /** A worker without heartbeats is overdue after so many boot times. */
+  private static final int OVERDUE_BOOTS = 2;
+
+  private final Membership membership;
+  private final WorkerRegistry workers;
+  private final InstanceCatalog catalog;
+  private final ScaleOutRequests requests;
+  private final SchedulerView scheduler;
+  private final WorkerHealth health;
+  private final FleetClock clock;
+
+  ForecastBuilder(
+      Membership membership,
+      WorkerRegistry workers,
+      InstanceCatalog catalog,
+      ScaleOutRequests requests,
+      SchedulerView scheduler,
+      WorkerHealth health,
+      FleetClock clock) {
+    this.membership = membership;
+    this.workers = workers;
+    this.catalog = catalog;
+    this.requests = requests;
+    this.scheduler = scheduler;
+    this.health = health;
+    this.clock = clock;
+  }
+
+  /** A forecast of now: registered workers that can be counted on, and instances in flight. */
+  Forecast build() {
+    Forecast forecast = new Forecast();
+    for (Worker worker : workers.all()) {
+      MachineType type = catalog.type(worker.type());
+      if (type != null
+          && worker.registered()
+          && !worker.terminating()
+          && worker.reclaimAtMicros() == 0) {
+        long fromMicros = availableFromMicros(worker, type);
+        if (fromMicros != Forecast.NEVER) {
+          add(forecast, worker, type, fromMicros);
+        }
+      }
+    }
+    for (ScaleOutRequest request : requests.inFlight()) {
+      for (int i = 0; i < request.count(); i++) {
+        forecast.add(
+            MachineTimeline.ofRequested(request.offering(), request.shard(), clock.nowMicros()));
+      }
+    }
+    return forecast;
+  }
+
+  /** From when on a worker can be counted on; {@link Forecast#NEVER} if it can't. */
+  private long availableFromMicros(Worker worker, MachineType type) {
+    boolean owned = membership.ownedShards().contains(worker.shard());
+    if (owned && worker.heartbeat() != null) {
+      return isUsable(worker) ? clock.nowMicros() : Forecast.NEVER;
+    }
+    if (!worker.attempts().isEmpty()) {
+      return clock.nowMicros();
+    }
+    long ageMicros = clock.wallMicros() - worker.launchedWallMicros();
+    if (owned && isOverdue(worker, type, ageMicros)) {
+      return Forecast.NEVER;
+    }
+    long minMicros = owned ? MIN_START_MICROS : 0;
+    return clock.nowMicros() + Math.max(minMicros, type.readyMicros() - ageMicros);
+  }
+
+  private boolean isUsable(Worker worker) {
+    return worker.consecutiveFailures() < WorkerHealth.MAX_CONSECUTIVE_FAILURES
+        && !worker.unreachable()
+        && !WorkerHealth.timedOut(worker, clock.nowMicros());
+  }
+
+  /** Whether an owned worker without heartbeats should have been up long ago. */
+  private boolean isOverdue(Worker worker, MachineType type, long ageMicros) {
+    long dueMicros = OVERDUE_BOOTS * type.readyMicros() + WorkerHealth.HEARTBEAT_TIMEOUT_MICROS;
+    long ownedMicros = clock.nowMicros() - membership.ownedSinceMicros(worker.shard());
+    return ageMicros > dueMicros && ownedMicros > health.returnGraceMicros();
+  }
+
+  private void add(Forecast forecast, Worker worker, MachineType type, long fromMicros) {
+    MachineTimeline machine =
+        new MachineTimeline(
+            type, worker.zone(), worker.spot(), worker.shard(), fromMicros, worker.cachedImages());
+    for (Attempt attempt : worker.attempts().values()) {
+      if (!attempt.closed()) {
+        Slice slice = attempt.slice();
+        forecast.addRunning(
+            new Forecast.RunningTask(
+                scheduler.priority(attempt),
+                machine,
+                fromMicros,
+                scheduler.expectedEndMicros(attempt),
+                slice.cpus(),
+                slice.gpus(),
+                slice.memory()));
+      }
+    }
+    forecast.add(machine);
+  }
+}
--- a/src/main/java/gladeknot/fleet/ScaleIn.java
+++ b/src/main/java/gladeknot/fleet/ScaleIn.java
@@ -1,267 +1,239 @@
 package gladeknot.fleet;
 
-import gladeknot.commit.TransactionCommitter;
 import gladeknot.connectivity.ControlAction;
-import gladeknot.json.Json;
 import gladeknot.lifecycle.TaskLifecycle;
 import gladeknot.membership.Membership;
-import gladeknot.outbox.Outbox;
 import gladeknot.policy.Policy;
-import gladeknot.settings.Settings;
-import gladeknot.state.TokenBucket;
 import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
+import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
-import java.util.function.Function;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Gives machines back to the cloud: those that are idle, broken, silent or never came up. A machine
- * is marked in the state service before the cloud is asked to delete it.
+ * Releases instances that are idle, broken, lost or never came up. A worker's record is marked
+ * before the cloud is asked to delete its instance.
  */
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
-  private static final long CALL_MICROS = 8_000_000;
 
-  /** The most that the protocol lets one request name. */
+  /** The most instances that the protocol lets one request release. */
   private static final int MAX_RELEASED = 100;
 
-  /** Failures in a row after which a machine gets nothing new and is given back. */
-  static final int MAX_ERRORS = 4;
+  /** How many times as long a worker is kept while most workers of its zone are lost. */
+  private static final int ZONE_LOSS_FACTOR = 4;
 
-  /** A machine that has not reported for this long is not counted on. */
-  static final long SILENT_MICROS = 8_000_000;
+  /** An instance is charged for a minute at least. */
+  private static final long MIN_CHARGED_MICROS = 55_000_000;
 
-  /** The least time that a machine has to come back after a restart of its controller. */
-  private static final long MIN_BACK_MICROS = 10_000_000;
+  /** The boot time that is assumed of an unknown type. */
+  private static final long UNKNOWN_READY_MICROS = 60_000_000;
 
-  /** A machine that has been silent for so many leases is given up. */
-  private static final int SILENT_LEASES = 3;
+  /** How much longer than its boot an instance may take before it is given up. */
+  private static final long READY_MARGIN_MICROS = 10_000_000;
 
-  /** How many times as long one is kept whose whole zone is silent. */
-  private static final int ZONE_PATIENCE = 4;
+  /** Why an instance is released; the text stands in log lines. */
+  enum Reason {
+    ALREADY_TERMINATING("already_terminating"),
+    HEARTBEAT_TIMEOUT("heartbeat_timeout"),
+    NEVER_STARTED("never_started"),
+    TASK_FAILURES("task_failures"),
+    UNREACHABLE("unreachable"),
+    IDLE("idle"),
+    FAILED("instance_failed");
 
-  /** A machine is charged for a minute at least. */
-  private static final long MIN_CHARGED_MICROS = 55_000_000;
+    private final String text;
 
-  /** What a machine of an unknown type is thought to take to boot. */
-  private static final long UNKNOWN_READY_MICROS = 60_000_000;
+    Reason(String text) {
+      this.text = text;
+    }
 
-  /** How much longer than its boot a machine may take before it is given up. */
-  private static final long READY_MARGIN_MICROS = 10_000_000;
+    @Override
+    public String toString() {
+      return text;
+    }
+  }
 
-  private final Settings settings;
   private final Policy policy;
   private final Membership membership;
   private final WorkerRegistry workers;
-  private final TransactionCommitter recordWriter;
-  private final TaskLifecycle scheduler;
-  private final Outbox outbox;
-  private final TokenBucket tokens;
-  private final Function<String, MachineType> types;
-
-  /** Machines marked for release that wait for a call to the cloud, with their shards. */
+  private final WorkerRecords records;
+  private final TaskLifecycle lifecycle;
+  private final CloudClient cloud;
+  private final InstanceCatalog catalog;
+  private final WorkerHealth health;
+  private final FleetClock clock;
+
+  /** Hosts marked as terminating that wait for a call to the cloud, with their shards. */
   private final Map<String, Integer> toRelease = new LinkedHashMap<>();
 
-  private long nowMicros;
-  private long wallMicros;
-
   ScaleIn(
-      Settings settings,
       Policy policy,
       Membership membership,
       WorkerRegistry workers,
-      TransactionCommitter recordWriter,
-      TaskLifecycle scheduler,
-      Outbox outbox,
-      TokenBucket tokens,
-      Function<String, MachineType> types) {
-    this.settings = settings;
+      WorkerRecords records,
+      TaskLifecycle lifecycle,
+      CloudClient cloud,
+      InstanceCatalog catalog,
+      WorkerHealth health,
+      FleetClock clock) {
     this.policy = policy;
     this.membership = membership;
     this.workers = workers;
-    this.recordWriter = recordWriter;
-    this.scheduler = scheduler;
-    this.outbox = outbox;
-    this.tokens = tokens;
-    this.types = types;
+    this.records = records;
+    this.lifecycle = lifecycle;
+    this.cloud = cloud;
+    this.catalog = catalog;
+    this.health = health;
+    this.clock = clock;
   }
 
-  /** Looks at the machines of the shards that are ours, and sends what waits. */
-  void step(long now, long wall) {
-    nowMicros = now;
-    wallMicros = wall;
+  /** Releases machines of the owned shards, and sends the releases that wait. */
+  void step() {
     for (int shard : List.copyOf(membership.ownedShards())) {
       if (membership.permits(ControlAction.SCALE_IN, shard)) {
-        giveBack(shard);
+        scaleIn(shard);
       }
     }
     sendReleases();
   }
 
-  /** Gives back what is idle, broken or never came up. */
-  private void giveBack(int shard) {
+  private void scaleIn(int shard) {
     for (Worker worker : workers.inShard(shard)) {
-      String why = worker.releasing() ? null : reason(worker, shard);
-      if (why != null) {
-        release(worker, why);
+      if (!worker.releasing()) {
+        reason(worker, shard).ifPresent(reason -> release(worker, reason));
       }
     }
   }
 
-  /** Why a machine is to be given back; null if it stays. */
-  private String reason(Worker worker, int shard) {
+  /** Why a worker is to be released; empty if it stays. */
+  private Optional<Reason> reason(Worker worker, int shard) {
     boolean busy = !worker.attempts().isEmpty();
     if (worker.terminating()) {
-      return "marked for it";
+      return Optional.of(Reason.ALREADY_TERMINATING);
     }
     if (worker.heartbeat() == null) {
-      return reasonUnreported(worker, shard, busy);
+      return reasonWithoutHeartbeat(worker, shard, busy);
     }
-    if (silentForGood(worker)) {
-      return "silent";
+    if (isLost(worker)) {
+      return Optional.of(Reason.HEARTBEAT_TIMEOUT);
     }
-    if (worker.consecutiveFailures() >= MAX_ERRORS && !busy) {
-      return "fails tasks";
+    if (worker.consecutiveFailures() >= WorkerHealth.MAX_CONSECUTIVE_FAILURES && !busy) {
+      return Optional.of(Reason.TASK_FAILURES);
     }
     if (worker.confirmedUnreachable() && !busy) {
-      return "does not hear";
+      return Optional.of(Reason.UNREACHABLE);
     }
-    return idleForGood(worker, busy) ? "idle" : null;
+    return isSurplus(worker, busy) ? Optional.of(Reason.IDLE) : Optional.empty();
   }
 
-  /** The same for a machine that has not reported since its shard is ours. */
-  private String reasonUnreported(Worker worker, int shard, boolean busy) {
-    MachineType type = types.apply(worker.type());
-    long ready = type == null ? UNKNOWN_READY_MICROS : type.readyMicros();
-    long age = Math.max(0, wallMicros - worker.launchedWallMicros());
-    long here = nowMicros - membership.ownedSinceMicros(shard);
-    long back = busy ? silentMicros() : backMicros();
-    if (age <= 2 * ready + ready / 4 + READY_MARGIN_MICROS || here <= back) {
-      return null;
+  /** The same for a worker without a heartbeat since its shard was acquired. */
+  private Optional<Reason> reasonWithoutHeartbeat(Worker worker, int shard, boolean busy) {
+    MachineType type = catalog.type(worker.type());
+    long readyMicros = type == null ? UNKNOWN_READY_MICROS : type.readyMicros();
+    long ageMicros = Math.max(0, clock.wallMicros() - worker.launchedWallMicros());
+    long ownedMicros = clock.nowMicros() - membership.ownedSinceMicros(shard);
+    long graceMicros = busy ? health.lossTimeoutMicros() : health.returnGraceMicros();
+    // Twice the boot time and a quarter: boots take longer at times.
+    if (ageMicros <= 2 * readyMicros + readyMicros / 4 + READY_MARGIN_MICROS
+        || ownedMicros <= graceMicros) {
+      return Optional.empty();
     }
-    return busy ? "silent" : "never came up";
+    return Optional.of(busy ? Reason.HEARTBEAT_TIMEOUT : Reason.NEVER_STARTED);
   }
 
-  /** How long a machine that has reported may be silent. */
-  private long silentMicros() {
-    return settings.workers().leaseMicros() * SILENT_LEASES;
+  private boolean isLost(Worker worker) {
+    long sinceMicros = clock.nowMicros() - worker.heartbeatMicros();
+    long timeoutMicros = health.lossTimeoutMicros();
+    return sinceMicros > timeoutMicros
+        && (sinceMicros > ZONE_LOSS_FACTOR * timeoutMicros || !isZoneTimedOut(worker.zone()));
   }
 
-  private boolean silentForGood(Worker worker) {
-    long quiet = nowMicros - worker.heartbeatMicros();
-    return quiet > silentMicros()
-        && (quiet > ZONE_PATIENCE * silentMicros() || !zoneSilent(worker));
-  }
-
-  /** Whether nothing has been on a machine for a while, and nothing is expected that needs it. */
-  private boolean idleForGood(Worker worker, boolean busy) {
+  /** Whether nothing has run on a worker for a while, and no expected load needs it. */
+  private boolean isSurplus(Worker worker, boolean busy) {
     if (busy || !worker.heartbeat().tasks().isEmpty()) {
       worker.markBusy();
       return false;
     }
-    worker.markIdle(nowMicros);
-    return nowMicros - worker.idleSinceMicros() > policy.micros(Policy.Name.IDLE_KEEP)
+    worker.markIdle(clock.nowMicros());
+    return clock.nowMicros() - worker.idleSinceMicros() > policy.micros(Policy.Name.IDLE_KEEP)
         && worker.surplus()
-        && wallMicros - worker.launchedWallMicros() > MIN_CHARGED_MICROS;
-  }
-
-  /**
-   * How long after a restart a machine may take to come back. It does so only once others have
-   * ceased to answer it, a lease and some reports later: by a shorter time healthy ones were given
-   * back with their tasks, and others rented in their place.
-   */
-  long backMicros() {
-    long back = settings.workers().leaseMicros() + 4 * settings.workers().heartbeatMicros();
-    return Math.max(back, MIN_BACK_MICROS);
+        && clock.wallMicros() - worker.launchedWallMicros() > MIN_CHARGED_MICROS;
   }
 
   /**
-   * Whether most machines of a machine's zone are silent: then the zone is cut off rather than each
-   * of them broken, and they will be of use when the cut ends.
+   * Whether most workers of a zone miss heartbeats: then the zone is partitioned rather than each
+   * of them broken, and they will be of use after the partition.
    */
-  private boolean zoneSilent(Worker worker) {
+  private boolean isZoneTimedOut(String zone) {
     int all = 0;
-    int silent = 0;
-    for (Worker other : workers.all()) {
-      if (other.heartbeat() != null && other.zone().equals(worker.zone())) {
+    int timedOut = 0;
+    for (Worker worker : workers.all()) {
+      if (worker.heartbeat() != null && worker.zone().equals(zone)) {
         all++;
-        silent += nowMicros - other.heartbeatMicros() > SILENT_MICROS ? 1 : 0;
+        timedOut += WorkerHealth.timedOut(worker, clock.nowMicros()) ? 1 : 0;
       }
     }
-    return silent >= 2 && silent * 2 > all;
+    return timedOut >= 2 && timedOut * 2 > all;
   }
 
-  /** Marks a machine and has it deleted. */
-  void release(Worker worker, String why) {
+  /** Marks a worker as terminating and has its instance released. */
+  void release(Worker worker, Reason reason) {
     worker.setReleasing(true);
+    String host = worker.host();
     int shard = worker.shard();
-    LOG.info("release {} of shard {}: {}", worker.host(), shard, why);
+    LOG.info("instance releasing host={} shard={} reason={}", host, shard, reason);
     if (worker.terminating()) {
-      sendRelease(worker.host(), shard);
+      toRelease.put(host, shard);
       return;
     }
-    edit(
-        worker.host(),
-        shard,
-        worker.record(),
-        worker.record(shard, true),
-        done -> {
-          if (done) {
-            sendRelease(worker.host(), shard);
+    records.markTerminating(
+        worker,
+        committed -> {
+          if (committed) {
+            toRelease.put(host, shard);
           } else {
             worker.setReleasing(false);
           }
         });
   }
 
-  private void sendRelease(String host, int shard) {
-    toRelease.put(host, shard);
-  }
-
-  /** Releases what waits for it, many machines with one call. */
+  /** Releases what waits for it, many instances with one call. */
   private void sendReleases() {
-    if (toRelease.isEmpty() || !tokens.tryAcquire(1, 0, nowMicros)) {
+    if (toRelease.isEmpty()) {
       return;
     }
-    Map<String, Integer> shards = new LinkedHashMap<>();
-    for (Map.Entry<String, Integer> e : toRelease.entrySet()) {
-      if (shards.size() < MAX_RELEASED) {
-        shards.put(e.getKey(), e.getValue());
+    Map<String, Integer> batch = new LinkedHashMap<>();
+    for (Map.Entry<String, Integer> waiting : toRelease.entrySet()) {
+      if (batch.size() < MAX_RELEASED) {
+        batch.put(waiting.getKey(), waiting.getValue());
       }
     }
-    toRelease.keySet().removeAll(shards.keySet());
-    outbox.call(
-        settings.cloudAddress(),
-        "POST",
-        "/rentals/release",
-        Json.of("hosts", List.copyOf(shards.keySet())),
-        CALL_MICROS,
-        reply -> shards.forEach((host, shard) -> released(host, shard, reply.status() == 200)));
+    List<String> hosts = new ArrayList<>(batch.keySet());
+    boolean sent =
+        cloud.release(
+            hosts, released -> batch.forEach((host, shard) -> onReply(host, shard, released)));
+    if (sent) {
+      toRelease.keySet().removeAll(hosts);
+    }
   }
 
-  private void released(String host, int shard, boolean done) {
+  private void onReply(String host, int shard, boolean released) {
     Worker worker = workers.get(host);
-    if (!done) {
+    if (!released) {
       if (worker != null) {
         worker.setReleasing(false);
       }
       return;
     }
-    scheduler.onMachineGone(host, "machine released");
+    lifecycle.onMachineGone(host, "machine released");
     if (worker != null && worker.registered()) {
-      edit(host, shard, worker.record(), Worker.RELEASED, ok -> {});
+      records.markReleased(worker, shard);
     }
   }
-
-  private void edit(String host, int shard, String from, String to, Consumer<Boolean> then) {
-    recordWriter.submit(
-        new TransactionCommitter.FieldMutation(
-            shard, Worker.key(host), Worker.field(host), from, to, then));
-  }
 }
--- /dev/null
+++ b/src/main/java/gladeknot/fleet/ScaleOutPlan.java
@@ -0,0 +1,23 @@
+package gladeknot.fleet;
+
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/** Instances to request: how many of each offering, in the order in which each was first needed. */
+final class ScaleOutPlan {
+  private final Map<InstanceOffering, Integer> counts = new LinkedHashMap<>();
+
+  /** Adds one instance. */
+  void add(InstanceOffering offering) {
+    counts.merge(offering, 1, Integer::sum);
+  }
+
+  int count(InstanceOffering offering) {
+    return counts.getOrDefault(offering, 0);
+  }
+
+  Map<InstanceOffering, Integer> counts() {
+    return Collections.unmodifiableMap(counts);
+  }
+}
--- /dev/null
+++ b/src/main/java/gladeknot/fleet/UnregisteredInstances.java
@@ -0,0 +1,138 @@
+package gladeknot.fleet;
+
+import gladeknot.connectivity.ControlAction;
+import gladeknot.membership.Membership;
+import gladeknot.settings.Settings;
+import gladeknot.workers.Heartbeat;
+import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerRegistry;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Finds instances that run and are not registered, by their heartbeats and by the cloud's list, and
+ * registers them: each instance is used or released. The list also shows failed instances.
+ */
+final class UnregisteredInstances {
+  private static final Logger LOG = LoggerFactory.getLogger(UnregisteredInstances.class);
+  private static final long LIST_INTERVAL_MICROS = 20_000_000;
+
+  /** An instance first seen this many intervals ago is forgotten; if it still runs it is new. */
+  private static final int RETAINED_INTERVALS = 6;
+
+  /** How many times the list's lag an instance has to be unregistered before it is registered. */
+  private static final int LAG_FACTOR = 4;
+
+  private final Settings settings;
+  private final Membership membership;
+  private final WorkerRegistry workers;
+  private final CloudClient cloud;
+  private final FleetClock clock;
+  private final WorkerRegistration registration;
+  private final ScaleIn scaleIn;
+
+  /** When the list first showed an instance that was not registered, by the steady clock. */
+  private final Map<String, Long> firstSeenMicros = new HashMap<>();
+
+  private boolean listing;
+  private long nextListMicros;
+
+  UnregisteredInstances(
+      Settings settings,
+      Membership membership,
+      WorkerRegistry workers,
+      CloudClient cloud,
+      FleetClock clock,
+      WorkerRegistration registration,
+      ScaleIn scaleIn) {
+    this.settings = settings;
+    this.membership = membership;
+    this.workers = workers;
+    this.cloud = cloud;
+    this.clock = clock;
+    this.registration = registration;
+    this.scaleIn = scaleIn;
+  }
+
+  /** Registers a machine that sends heartbeats and is not registered. */
+  void onHeartbeat(Heartbeat heartbeat) {
+    String host = heartbeat.host();
+    int shard = membership.homeShard();
+    if (membership.permits(ControlAction.SCALE_OUT, shard) && !workers.wasReleased(host)) {
+      LOG.info("unregistered instance registered host={} shard={} seen=heartbeat", host, shard);
+      registration.registerUnknown(
+          host, shard, heartbeat.type(), heartbeat.zone(), heartbeat.spot());
+    }
+  }
+
+  /** Starts to read the cloud's list when that is due. */
+  void step() {
+    if (!listing && clock.nowMicros() >= nextListMicros && membership.mayAct()) {
+      nextListMicros = clock.nowMicros() + LIST_INTERVAL_MICROS;
+      listAfter("");
+    }
+  }
+
+  private void listAfter(String host) {
+    listing = cloud.listInstances(host, page -> onPage(host, page));
+  }
+
+  private void onPage(String afterHost, Optional<CloudCodec.InstancePage> page) {
+    listing = false;
+    if (page.isEmpty()) {
+      return;
+    }
+    String last = afterHost;
+    for (CloudCodec.ListedInstance instance : page.get().instances()) {
+      last = instance.host();
+      onListed(instance);
+    }
+    if (page.get().more()) {
+      listAfter(last);
+    } else {
+      long nowMicros = clock.nowMicros();
+      firstSeenMicros
+          .values()
+          .removeIf(seen -> nowMicros - seen > RETAINED_INTERVALS * LIST_INTERVAL_MICROS);
+    }
+  }
+
+  private void onListed(CloudCodec.ListedInstance instance) {
+    Worker worker = workers.get(instance.host());
+    if (worker != null && worker.registered()) {
+      onListedWorker(worker, instance);
+    } else if (!workers.wasReleased(instance.host())) {
+      onListedUnregistered(instance);
+    }
+  }
+
+  private void onListedWorker(Worker worker, CloudCodec.ListedInstance instance) {
+    firstSeenMicros.remove(worker.host());
+    worker.setListedEndpoint(instance.endpoint());
+    if (instance.failed()
+        && !worker.releasing()
+        && membership.permits(ControlAction.SCALE_IN, worker.shard())) {
+      scaleIn.release(worker, ScaleIn.Reason.FAILED);
+    }
+  }
+
+  private void onListedUnregistered(CloudCodec.ListedInstance instance) {
+    String host = instance.host();
+    long nowMicros = clock.nowMicros();
+    // Lists lag: an instance just started or just released looks the same as an orphan for a while.
+    long seenMicros = firstSeenMicros.computeIfAbsent(host, unseen -> nowMicros);
+    long patienceMicros =
+        LAG_FACTOR * settings.cloudLimits().listLagMicros() + LIST_INTERVAL_MICROS;
+    int shard = membership.homeShard();
+    // The hash lets one controller register it.
+    if (nowMicros - seenMicros > patienceMicros
+        && Math.floorMod(host.hashCode(), membership.shardCount()) == shard
+        && membership.permits(ControlAction.SCALE_OUT, shard)) {
+      LOG.info("unregistered instance registered host={} shard={} seen=list", host, shard);
+      registration.registerUnknown(host, shard, instance.type(), instance.zone(), instance.spot());
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/gladeknot/fleet/WorkerRegistration.java
@@ -0,0 +1,102 @@
+package gladeknot.fleet;
+
+import gladeknot.lifecycle.TaskLifecycle;
+import gladeknot.membership.Membership;
+import gladeknot.workers.MachineType;
+import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerRegistry;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/** Registers machines as workers, and decides on the shard of each. */
+final class WorkerRegistration {
+  private final Membership membership;
+  private final WorkerRegistry workers;
+  private final WorkerRecords records;
+  private final TaskLifecycle lifecycle;
+  private final InstanceCatalog catalog;
+  private final FleetClock clock;
+
+  /** Hosts whose record is being written. */
+  private final Set<String> registering = new HashSet<>();
+
+  WorkerRegistration(
+      Membership membership,
+      WorkerRegistry workers,
+      WorkerRecords records,
+      TaskLifecycle lifecycle,
+      InstanceCatalog catalog,
+      FleetClock clock) {
+    this.membership = membership;
+    this.workers = workers;
+    this.records = records;
+    this.lifecycle = lifecycle;
+    this.catalog = catalog;
+    this.clock = clock;
+  }
+
+  /**
+   * Registers what a scale-out request started: machines with GPUs for the shard that requested
+   * them, others for the shards that have the fewest CPUs.
+   */
+  void registerInstances(ScaleOutRequest request, List<String> hosts) {
+    InstanceOffering offering = request.offering();
+    MachineType type = offering.type();
+    long[] cpusByShard = cpusByShard();
+    for (String host : hosts) {
+      int shard = type.gpus() > 0 ? request.shard() : shardWithFewestCpus(cpusByShard);
+      cpusByShard[shard] += type.cpus();
+      register(
+          host,
+          request.shard(),
+          Worker.record(
+              shard, type.name(), offering.zone(), offering.spot(), clock.wallMicros(), false));
+    }
+  }
+
+  /** Registers a machine that no scale-out request of ours accounts for, for a shard we own. */
+  void registerUnknown(String host, int shard, String type, String zone, boolean spot) {
+    register(host, shard, Worker.record(shard, type, zone, spot, clock.wallMicros(), false));
+  }
+
+  private void register(String host, int ownedShard, String record) {
+    if (!registering.add(host)) {
+      return;
+    }
+    records.create(
+        host,
+        ownedShard,
+        record,
+        committed -> {
+          registering.remove(host);
+          lifecycle.requestScheduling();
+        });
+  }
+
+  /** The CPUs, in thousandths, of each shard's registered machines without GPUs. */
+  private long[] cpusByShard() {
+    long[] cpus = new long[membership.shardCount()];
+    for (Worker worker : workers.all()) {
+      MachineType type = catalog.type(worker.type());
+      if (worker.registered() && !worker.terminating() && type != null && type.gpus() == 0) {
+        cpus[worker.shard()] += type.cpus();
+      }
+    }
+    return cpus;
+  }
+
+  /**
+   * The shard with the fewest CPUs, of those with a live owner. Tasks are split evenly over shards,
+   * so machines are too, whoever requested them: what is uneven has to be claimed, task by task.
+   */
+  private int shardWithFewestCpus(long[] cpusByShard) {
+    int fewest = membership.homeShard();
+    for (int shard = 0; shard < cpusByShard.length; shard++) {
+      if (membership.liveOwner(shard) != null && cpusByShard[shard] < cpusByShard[fewest]) {
+        fewest = shard;
+      }
+    }
+    return fewest;
+  }
+}
--- a/src/test/java/gladeknot/fleet/CapacityTest.java
+++ b/src/test/java/gladeknot/fleet/CapacityTest.java
@@ -24,7 +24,7 @@
     Capacity capacity = new Capacity();
     for (int i = 0; i < machines; i++) {
       String zone = i % 3 == 0 ? "b" : "a";
-      capacity.add(new Capacity.Box(String.format("vm-%06d", i), TYPE, zone, false, 0));
+      capacity.add(MachineBin.ofWorker(String.format("vm-%06d", i), TYPE, zone, false, 0));
     }
     capacity.sort();
     return capacity;
@@ -34,55 +34,54 @@
   void replicasGoHalfToEachZoneAndOneByOneIntoTheFirstMachines()
       throws JobSpec.MalformedJobException {
     Capacity capacity = of(4);
-    Map<String, Integer> inZone = new HashMap<>();
-    assertEquals(6, capacity.put(spec("service", 6), 6, inZone));
-    assertEquals(Map.of("a", 3, "b", 3), inZone);
+    Map<String, Integer> tasksByZone = new HashMap<>();
+    assertEquals(6, capacity.place(spec("service", 6), 6, tasksByZone));
+    assertEquals(Map.of("a", 3, "b", 3), tasksByZone);
     // Two machines of each zone hold all there is room for: zone a's are the second and third.
     assertEquals(
-        List.of(true, true, false, false),
-        capacity.boxes().stream().map(Capacity.Box::used).toList());
-    assertEquals(10, capacity.put(spec("array", 20), 20, new HashMap<>()));
+        List.of(true, true, false, false), capacity.bins().stream().map(MachineBin::used).toList());
+    assertEquals(10, capacity.place(spec("array", 20), 20, new HashMap<>()));
   }
 
   @Test
   void machinesThatReplicasKeepAreNeededBeforeOthers() throws JobSpec.MalformedJobException {
     Capacity capacity = new Capacity();
-    capacity.add(new Capacity.Box("vm-000001", TYPE, "a", false, 0));
-    capacity.add(new Capacity.Box("vm-000002", TYPE, "a", false, 1));
-    capacity.add(new Capacity.Box("vm-000003", TYPE, "a", false, 2));
+    capacity.add(MachineBin.ofWorker("vm-000001", TYPE, "a", false, 0));
+    capacity.add(MachineBin.ofWorker("vm-000002", TYPE, "a", false, 1));
+    capacity.add(MachineBin.ofWorker("vm-000003", TYPE, "a", false, 2));
     capacity.sort();
-    capacity.put(spec("array", 1), 1, new HashMap<>());
+    capacity.place(spec("array", 1), 1, new HashMap<>());
     List<String> used =
-        capacity.boxes().stream().filter(Capacity.Box::used).map(box -> box.host).toList();
+        capacity.bins().stream().filter(MachineBin::used).map(MachineBin::host).toList();
     assertEquals(List.of("vm-000003"), used);
   }
 
   @Test
-  void looksForEachTaskDoNotGrowWithTheFleet() throws JobSpec.MalformedJobException {
-    double small = looksForEachTask(100);
-    double large = looksForEachTask(1000);
+  void evaluationsPerTaskDoNotGrowWithTheFleet() throws JobSpec.MalformedJobException {
+    double small = evaluationsPerTask(100);
+    double large = evaluationsPerTask(1000);
     assertTrue(large <= small * 1.1, small + " then " + large);
-    assertTrue(large < 4, large + " looks for each task");
+    assertTrue(large < 4, large + " evaluations for each task");
   }
 
-  private static double looksForEachTask(int machines) throws JobSpec.MalformedJobException {
+  private static double evaluationsPerTask(int machines) throws JobSpec.MalformedJobException {
     Capacity capacity = of(machines);
     Forecast forecast = new Forecast();
-    for (Capacity.Box box : capacity.boxes()) {
-      forecast.add(new Forecast.Slot(TYPE, box.zone, false, 0, 0, List.of()));
+    for (MachineBin bin : capacity.bins()) {
+      forecast.add(new MachineTimeline(TYPE, bin.zone(), false, 0, 0, List.of()));
     }
     JobSpec web = spec("service", 4);
     int tasks = machines * 2;
     for (int i = 0; i < tasks; i += 4) {
-      Map<String, Integer> inZone = new HashMap<>();
-      capacity.put(web, 4, inZone);
+      Map<String, Integer> tasksByZone = new HashMap<>();
+      capacity.place(web, 4, tasksByZone);
       Map<String, Integer> inForecast = new HashMap<>();
       for (int t = 0; t < 4; t++) {
-        Forecast.Slot slot = forecast.search(web, -1).best(inForecast);
-        forecast.put(slot, web, Forecast.NEVER);
-        inForecast.merge(slot.zone, 1, Integer::sum);
+        MachineTimeline machine = forecast.search(web, Forecast.ANY_SHARD).earliest(inForecast);
+        forecast.place(machine, web, Forecast.NEVER);
+        inForecast.merge(machine.zone(), 1, Integer::sum);
       }
     }
-    return (capacity.looks() + forecast.looks()) / (double) tasks / 2;
+    return (capacity.evaluations() + forecast.evaluations()) / (double) tasks / 2;
   }
 }
--- a/src/test/java/gladeknot/fleet/ForecastTest.java
+++ b/src/test/java/gladeknot/fleet/ForecastTest.java
@@ -22,13 +22,17 @@
   void tasksQueueForTheRoomThatRunningOnesLeave() throws JobSpec.MalformedJobException {
     Forecast forecast = new Forecast();
     JobSpec spec = spec("array");
-    Forecast.Slot slot = new Forecast.Slot(TYPE, "a", true, 0, 0, List.of("img"));
-    forecast.add(slot);
-    forecast.running(JobSpec.Priority.NORMAL, slot, 0, 5_000_000, 1000, 0, 1000);
+    MachineTimeline machine = new MachineTimeline(TYPE, "a", true, 0, 0, List.of("img"));
+    forecast.add(machine);
+    forecast.addRunning(
+        new Forecast.RunningTask(JobSpec.Priority.NORMAL, machine, 0, 5_000_000, 1000, 0, 1000));
     forecast.admit(JobSpec.Priority.NORMAL);
     long[] expected = {0, 5_000_000, 6_000_000, 11_000_000};
     for (long at : expected) {
-      assertEquals(at, forecast.put(forecast.search(spec, -1).best(Map.of()), spec, 6_000_000));
+      assertEquals(
+          at,
+          forecast.place(
+              forecast.search(spec, Forecast.ANY_SHARD).earliest(Map.of()), spec, 6_000_000));
     }
   }
 
@@ -38,14 +42,14 @@
     long[] ends = new long[2];
     for (int way = 0; way < 2; way++) {
       Forecast forecast = new Forecast();
-      Forecast.Slot slot = new Forecast.Slot(TYPE, "a", true, 0, 0, List.of("img"));
-      forecast.add(slot);
-      assertEquals(2, slot.roomBy(spec, 0));
+      MachineTimeline machine = new MachineTimeline(TYPE, "a", true, 0, 0, List.of("img"));
+      forecast.add(machine);
+      assertEquals(2, machine.fittingTasks(spec, 0));
       for (int i = 0; i < 2; i += way == 0 ? 1 : 2) {
-        forecast.put(slot, spec, 0, 6_000_000, way == 0 ? 1 : 2);
+        forecast.place(machine, spec, 0, 6_000_000, way == 0 ? 1 : 2);
       }
-      assertEquals(0, slot.roomBy(spec, 0));
-      ends[way] = slot.earliest(spec);
+      assertEquals(0, machine.fittingTasks(spec, 0));
+      ends[way] = machine.earliestStartMicros(spec);
     }
     assertEquals(6_000_000, ends[0]);
     assertEquals(ends[0], ends[1]);
@@ -55,20 +59,21 @@
   void whatMayBeStoppedIsNoHindrance() throws JobSpec.MalformedJobException {
     Forecast forecast = new Forecast();
     JobSpec web = spec("service");
-    Forecast.Slot slot = new Forecast.Slot(TYPE, "a", false, 0, 0, List.of("img"));
-    forecast.add(slot);
-    forecast.running(JobSpec.Priority.NORMAL, slot, 0, 50_000_000, 2000, 0, 2000);
+    MachineTimeline machine = new MachineTimeline(TYPE, "a", false, 0, 0, List.of("img"));
+    forecast.add(machine);
+    forecast.addRunning(
+        new Forecast.RunningTask(JobSpec.Priority.NORMAL, machine, 0, 50_000_000, 2000, 0, 2000));
     forecast.admit(JobSpec.Priority.PROD);
-    assertEquals(0, slot.earliest(web));
+    assertEquals(0, machine.earliestStartMicros(web));
     forecast.admit(JobSpec.Priority.NORMAL);
-    assertEquals(50_000_000, slot.earliest(web));
+    assertEquals(50_000_000, machine.earliestStartMicros(web));
   }
 
   @Test
   void spreadReplicasNeedAnotherZone() throws JobSpec.MalformedJobException {
     Forecast forecast = new Forecast();
-    forecast.add(new Forecast.Slot(TYPE, "a", false, 0, 0, List.of()));
+    forecast.add(new MachineTimeline(TYPE, "a", false, 0, 0, List.of()));
     // Four replicas: two to a zone at most.
-    assertNull(forecast.search(spec("service"), -1).best(Map.of("a", 2)));
+    assertNull(forecast.search(spec("service"), Forecast.ANY_SHARD).earliest(Map.of("a", 2)));
   }
 }
