--- a/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import gladeknot.jobs.JobRegistry;
+import gladeknot.jobs.JobSpecCodec;
 import gladeknot.jobs.MalformedJobException;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.state.Entry;
