--- a/src/main/java/gladeknot/scheduling/SchedulingQueue.java
+++ b/src/main/java/gladeknot/scheduling/SchedulingQueue.java
@@ -5,6 +5,7 @@
 import gladeknot.jobs.JobRegistry;
 import gladeknot.membership.Membership;
 import gladeknot.policy.Policy;
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import gladeknot.tasks.Slice;
 import gladeknot.tasks.SliceRegistry;
@@ -48,7 +49,7 @@
   private static long guaranteeMicros(Settings settings) {
     long within = NO_LIMIT_MICROS;
     for (Settings.Objective objective : settings.objectives()) {
-      if (objective.kind().equals("guarantee")) {
+      if (objective.kind() == ObjectiveKind.GUARANTEE) {
         within = objective.withinMicros();
       }
     }
