--- a/src/main/java/gladeknot/commit/TransactionBatch.java
+++ b/src/main/java/gladeknot/commit/TransactionBatch.java
@@ -1,9 +1,7 @@
 package gladeknot.commit;
 
-import gladeknot.commit.TransactionCommitter.FieldMutation;
-import gladeknot.commit.TransactionCommitter.KeyMutation;
+import gladeknot.state.Mutation;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Mutation;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.SegmentLayout;
 import gladeknot.tasks.Slice;
--- a/src/main/java/gladeknot/fleet/ScaleIn.java
+++ b/src/main/java/gladeknot/fleet/ScaleIn.java
@@ -231,7 +231,7 @@
       }
       return;
     }
-    lifecycle.onMachineGone(host, "machine released");
+    lifecycle.onWorkerReleased(host);
     if (worker != null && worker.registered()) {
       records.markReleased(worker, shard);
     }
--- a/src/main/java/gladeknot/fleet/WorkerRecords.java
+++ b/src/main/java/gladeknot/fleet/WorkerRecords.java
@@ -1,7 +1,11 @@
 package gladeknot.fleet;
 
+import gladeknot.commit.FieldMutation;
+import gladeknot.commit.MutationCallback;
 import gladeknot.commit.TransactionCommitter;
 import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerRecord;
+import gladeknot.workers.WorkerRecordCodec;
 
 /**
  * Writes the stored records of workers. Each write is conditional on the record as the followed
@@ -14,35 +18,36 @@
     this.committer = committer;
   }
 
-  /** Learns whether a write was committed. */
-  interface CommitHandler {
-    void onResult(boolean committed);
-  }
-
   /** Registers a machine; {@code ownedShard} is the writer's, the record may name another. */
-  void create(String host, int ownedShard, String record, CommitHandler handler) {
-    write(host, ownedShard, null, record, handler);
+  void create(String host, int ownedShard, WorkerRecord record, MutationCallback callback) {
+    write(host, ownedShard, null, WorkerRecordCodec.encode(record), callback);
   }
 
   /** Moves a worker to another shard. */
-  void transfer(Worker worker, int toShard, CommitHandler handler) {
-    write(worker.host(), worker.shard(), worker.record(), worker.record(toShard, false), handler);
+  void transfer(Worker worker, int toShard, MutationCallback callback) {
+    write(worker.host(), worker.shard(), worker.record(), worker.record(toShard, false), callback);
   }
 
   /** Marks a worker whose instance is to be released. */
-  void markTerminating(Worker worker, CommitHandler handler) {
+  void markTerminating(Worker worker, MutationCallback callback) {
     int shard = worker.shard();
-    write(worker.host(), shard, worker.record(), worker.record(shard, true), handler);
+    write(worker.host(), shard, worker.record(), worker.record(shard, true), callback);
   }
 
   /** Marks a worker whose instance was released by a shard's owner. */
   void markReleased(Worker worker, int ownedShard) {
-    write(worker.host(), ownedShard, worker.record(), Worker.RELEASED, committed -> {});
+    write(worker.host(), ownedShard, worker.record(), WorkerRecordCodec.RELEASED, committed -> {});
   }
 
-  private void write(String host, int ownedShard, String from, String to, CommitHandler handler) {
+  private void write(
+      String host, int ownedShard, String from, String to, MutationCallback callback) {
     committer.submit(
-        new TransactionCommitter.FieldMutation(
-            ownedShard, Worker.key(host), Worker.field(host), from, to, handler::onResult));
+        new FieldMutation(
+            ownedShard,
+            WorkerRecordCodec.key(host),
+            WorkerRecordCodec.field(host),
+            from,
+            to,
+            callback));
   }
 }
--- a/src/main/java/gladeknot/fleet/WorkerRegistration.java
+++ b/src/main/java/gladeknot/fleet/WorkerRegistration.java
@@ -4,6 +4,7 @@
 import gladeknot.membership.Membership;
 import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerRecord;
 import gladeknot.workers.WorkerRegistry;
 import java.util.HashSet;
 import java.util.List;
@@ -50,17 +51,17 @@
       register(
           host,
           request.shard(),
-          Worker.record(
+          new WorkerRecord(
               shard, type.name(), offering.zone(), offering.spot(), clock.wallMicros(), false));
     }
   }
 
   /** Registers a machine that no scale-out request of ours accounts for, for a shard we own. */
   void registerUnknown(String host, int shard, String type, String zone, boolean spot) {
-    register(host, shard, Worker.record(shard, type, zone, spot, clock.wallMicros(), false));
+    register(host, shard, new WorkerRecord(shard, type, zone, spot, clock.wallMicros(), false));
   }
 
-  private void register(String host, int ownedShard, String record) {
+  private void register(String host, int ownedShard, WorkerRecord record) {
     if (!registering.add(host)) {
       return;
     }
--- a/src/test/java/gladeknot/fleet/CapacityTest.java
+++ b/src/test/java/gladeknot/fleet/CapacityTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gladeknot.jobs.JobSpec;
+import gladeknot.jobs.JobSpecCodec;
+import gladeknot.jobs.MalformedJobException;
 import gladeknot.standin.SimulatedCluster;
 import gladeknot.workers.MachineType;
 import java.util.HashMap;
@@ -11,13 +13,13 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Where tasks go in thought, and that a look at a fleet costs no more a task as it grows. */
+/** How expected tasks are packed, and that packing a task costs no more as the fleet grows. */
 class CapacityTest {
   private static final MachineType TYPE =
       new MachineType("small", 4000, 0, 16_000, 40, 0.5, 0.2, 0.1, 10_000_000, List.of("a", "b"));
 
-  private static JobSpec spec(String shape, int tasks) throws JobSpec.MalformedJobException {
-    return JobSpec.parse(SimulatedCluster.job("req-1", shape, tasks));
+  private static JobSpec spec(String shape, int tasks) throws MalformedJobException {
+    return JobSpecCodec.decode(SimulatedCluster.job("req-1", shape, tasks));
   }
 
   private static Capacity of(int machines) {
@@ -31,20 +33,19 @@
   }
 
   @Test
-  void replicasGoHalfToEachZoneAndOneByOneIntoTheFirstMachines()
-      throws JobSpec.MalformedJobException {
+  void replicasGoHalfToEachZoneAndOneByOneIntoTheFirstMachines() throws MalformedJobException {
     Capacity capacity = of(4);
     Map<String, Integer> tasksByZone = new HashMap<>();
     assertEquals(6, capacity.place(spec("service", 6), 6, tasksByZone));
     assertEquals(Map.of("a", 3, "b", 3), tasksByZone);
-    // Two machines of each zone hold all there is room for: zone a's are the second and third.
+    // The first machine of each zone has enough capacity: zone a's are the second and third.
     assertEquals(
         List.of(true, true, false, false), capacity.bins().stream().map(MachineBin::used).toList());
     assertEquals(10, capacity.place(spec("array", 20), 20, new HashMap<>()));
   }
 
   @Test
-  void machinesThatReplicasKeepAreNeededBeforeOthers() throws JobSpec.MalformedJobException {
+  void machinesThatReplicasKeepAreNeededBeforeOthers() throws MalformedJobException {
     Capacity capacity = new Capacity();
     capacity.add(MachineBin.ofWorker("vm-000001", TYPE, "a", false, 0));
     capacity.add(MachineBin.ofWorker("vm-000002", TYPE, "a", false, 1));
@@ -57,14 +58,14 @@
   }
 
   @Test
-  void evaluationsPerTaskDoNotGrowWithTheFleet() throws JobSpec.MalformedJobException {
+  void evaluationsPerTaskDoNotGrowWithTheFleet() throws MalformedJobException {
     double small = evaluationsPerTask(100);
     double large = evaluationsPerTask(1000);
     assertTrue(large <= small * 1.1, small + " then " + large);
     assertTrue(large < 4, large + " evaluations for each task");
   }
 
-  private static double evaluationsPerTask(int machines) throws JobSpec.MalformedJobException {
+  private static double evaluationsPerTask(int machines) throws MalformedJobException {
     Capacity capacity = of(machines);
     Forecast forecast = new Forecast();
     for (MachineBin bin : capacity.bins()) {
--- a/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
@@ -3,11 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import gladeknot.jobs.JobRegistry;
-import gladeknot.jobs.JobSpec;
+import gladeknot.jobs.JobSpecCodec;
+import gladeknot.jobs.MalformedJobException;
 import gladeknot.standin.SimulatedCluster;
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import gladeknot.workers.MachineType;
-import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerRecord;
+import gladeknot.workers.WorkerRecordCodec;
 import gladeknot.workers.WorkerRegistry;
 import java.util.List;
 import java.util.Map;
@@ -22,7 +24,7 @@
   /** Two machines of 16 CPUs and 2 GPUs, three of 4 CPUs. */
   @ParameterizedTest
   @CsvSource({"6.0, 1.0, 4", "6.0, 2.0, 2", "2.0, 0.0, 6", "4.0, 0.0, 3"})
-  void places(double cpus, double gpus, int places) throws JobSpec.MalformedJobException {
+  void places(double cpus, double gpus, int places) throws MalformedJobException {
     WorkerRegistry workers = new WorkerRegistry();
     enter(workers, 1, "accelerated");
     enter(workers, 2, "accelerated");
@@ -35,14 +37,14 @@
     Map<String, Object> job = SimulatedCluster.job("req-1", "array", 8);
     job.put("cores", cpus);
     job.put("accelerators", gpus);
-    assertEquals(places, capacity.places(JobSpec.parse(job), NOW, NOW));
+    assertEquals(places, capacity.places(JobSpecCodec.decode(job), NOW, NOW));
   }
 
   private static void enter(WorkerRegistry workers, int number, String type) {
     String host = "vm-00000" + number;
-    String record = Worker.record(0, type, "a", false, NOW, false);
-    Map<String, Object> data = Map.of(Worker.field(host), record);
-    workers.onChange(Worker.key(host), null, new StateStore.Entry(data, number));
+    String record = WorkerRecordCodec.encode(new WorkerRecord(0, type, "a", false, NOW, false));
+    Map<String, Object> data = Map.of(WorkerRecordCodec.field(host), record);
+    workers.onChange(WorkerRecordCodec.key(host), null, new Entry(data, number));
   }
 
   private static MachineType type(String name) {
