--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -33,7 +33,6 @@
 import gladeknot.tracing.TaskTracer;
 import gladeknot.workers.Heartbeat;
 import gladeknot.workers.HeartbeatHandler;
-import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerCommand;
 import gladeknot.workers.WorkerRecordCodec;
@@ -108,7 +107,7 @@
             workers,
             recordWriter,
             outbox,
-            this::cacheGb,
+            catalog::cacheGb,
             tracer);
     budgets = new QuotaAllocator(settings, stateStore, membership, slices, recordWriter, outbox);
     placer =
@@ -164,11 +163,6 @@
     return connectivity.map(ConnectivityMonitor::status).orElse(Map.of());
   }
 
-  private double cacheGb(String type) {
-    MachineType t = catalog.type(type);
-    return t == null ? 0 : t.cacheGb();
-  }
-
   /** Lets time pass; both clocks in microseconds, the steady one and the time of day. */
   public void tick(long nowMicros, long wallMicros) {
     // First of all what the others are entitled to is judged by this time, also after a stall.
--- a/src/main/java/gladeknot/fleet/Fleet.java
+++ b/src/main/java/gladeknot/fleet/Fleet.java
@@ -81,23 +81,30 @@
         new ReactiveScaleOut(
             policy, catalog, selector, requests, limits, forecasts, deadlines, scheduler, clock);
     transfer = new IdleMachineTransfer(membership, workers, records, catalog, scheduler);
-    planner =
-        new CapacityPlanner(
-            policy,
-            membership,
-            workers,
-            catalog,
-            selector,
-            requests,
-            limits,
-            scheduler,
-            new CapacityTargets(policy, catalog, scheduler, deadlines),
-            clock);
+    planner = planner(membership, requests, limits, deadlines);
     unregistered =
         new UnregisteredInstances(
             settings, membership, workers, cloud, clock, registration, scaleIn);
   }
 
+  private CapacityPlanner planner(
+      Membership membership,
+      ScaleOutRequests requests,
+      PlanningLimits limits,
+      StartDeadlines deadlines) {
+    return new CapacityPlanner(
+        policy,
+        membership,
+        workers,
+        catalog,
+        selector,
+        requests,
+        limits,
+        scheduler,
+        new CapacityTargets(policy, catalog, scheduler, deadlines),
+        clock);
+  }
+
   /** Lets time pass, in microseconds of the steady clock and of the time of day. */
   public void tick(long nowMicros, long wallMicros) {
     clock.advance(nowMicros, wallMicros);
--- a/src/main/java/gladeknot/fleet/InstanceCatalog.java
+++ b/src/main/java/gladeknot/fleet/InstanceCatalog.java
@@ -47,6 +47,12 @@
     return types.get(name);
   }
 
+  /** The size of a type's image cache in GB; 0 if the cloud doesn't list the type. */
+  public double cacheGb(String typeName) {
+    MachineType type = types.get(typeName);
+    return type == null ? 0 : type.cacheGb();
+  }
+
   Collection<MachineType> types() {
     return types.values();
   }
