--- a/src/test/java/gladeknot/fleet/CapacityTest.java
+++ b/src/test/java/gladeknot/fleet/CapacityTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Where tasks go in thought, and that a look at a fleet costs no more a task as it grows. */
+/** How expected tasks are packed, and that packing a task costs no more as the fleet grows. */
 class CapacityTest {
   private static final MachineType TYPE =
       new MachineType("small", 4000, 0, 16_000, 40, 0.5, 0.2, 0.1, 10_000_000, List.of("a", "b"));
@@ -38,7 +38,7 @@
     Map<String, Integer> tasksByZone = new HashMap<>();
     assertEquals(6, capacity.place(spec("service", 6), 6, tasksByZone));
     assertEquals(Map.of("a", 3, "b", 3), tasksByZone);
-    // Two machines of each zone hold all there is room for: zone a's are the second and third.
+    // The first machine of each zone has enough capacity: zone a's are the second and third.
     assertEquals(
         List.of(true, true, false, false), capacity.bins().stream().map(MachineBin::used).toList());
     assertEquals(10, capacity.place(spec("array", 20), 20, new HashMap<>()));
