--- a/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
@@ -14,15 +14,18 @@
  * others by the CPUs of the machines without.
  */
 final class DeadlineCapacity {
-  /** The walk over the whole fleet is made anew so often, not for each job that comes or ends. */
-  private static final long COUNT_MICROS = 1_000_000;
+  /** The whole fleet is visited so often only, not for each job that is submitted or ends. */
+  private static final long REFRESH_MICROS = 1_000_000;
+
+  /** A launched machine counts as coming for so many times the time its type needs to get ready. */
+  private static final int READY_TIMES = 2;
 
   private final JobRegistry jobs;
   private final WorkerRegistry workers;
   private final MachineTypes types;
   private long cpus;
   private long gpus;
-  private long nextCountMicros;
+  private long nextRefreshMicros;
 
   DeadlineCapacity(JobRegistry jobs, WorkerRegistry workers, MachineTypes types) {
     this.jobs = jobs;
@@ -30,31 +33,31 @@
     this.types = types;
   }
 
-  /** How many tasks of a job could be at work at once. */
+  /** How many tasks of a job could run at once; 0 or more. */
   int taskSlots(JobSpec spec, long nowMicros, long wallMicros) {
-    if (nowMicros >= nextCountMicros) {
-      nextCountMicros = nowMicros + COUNT_MICROS;
-      count(wallMicros);
+    if (nowMicros >= nextRefreshMicros) {
+      nextRefreshMicros = nowMicros + REFRESH_MICROS;
+      refresh(wallMicros);
     }
-    long places = spec.gpus() > 0 ? gpus / spec.gpus() : cpus / spec.cpus();
-    return (int) Math.max(0, Math.min(places, Integer.MAX_VALUE));
+    long slots = spec.gpus() > 0 ? gpus / spec.gpus() : cpus / spec.cpus();
+    return (int) Math.max(0, Math.min(slots, Integer.MAX_VALUE));
   }
 
-  private void count(long wallMicros) {
+  private void refresh(long wallMicros) {
     cpus = 0;
     gpus = 0;
     for (Worker worker : workers.all()) {
       MachineType type = types.get(worker.type());
       if (worker.registered() && !worker.terminating() && type != null) {
-        count(worker, type, wallMicros);
+        addWorker(worker, type, wallMicros);
       }
     }
   }
 
-  private void count(Worker worker, MachineType type, long wallMicros) {
-    // A machine that should long since be up and has nothing on it while work waits is of no use.
-    boolean coming = wallMicros - worker.launchedWallMicros() < 2 * type.readyMicros();
-    if (coming || !worker.attempts().isEmpty()) {
+  private void addWorker(Worker worker, MachineType type, long wallMicros) {
+    // A machine that should be ready by now and runs nothing while work is pending is of no use.
+    boolean launching = wallMicros - worker.launchedWallMicros() < READY_TIMES * type.readyMicros();
+    if (launching || !worker.attempts().isEmpty()) {
       add(type, type.cpus(), type.gpus());
     }
     for (Attempt attempt : worker.attempts().values()) {
--- a/src/main/java/gladeknot/scheduling/DeadlineOrder.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineOrder.java
@@ -18,44 +18,59 @@
 import java.util.Set;
 
 /**
- * In which order jobs with deadlines are served when not all of them can be in time.
+ * The order of jobs with deadlines when not all of them can be in time.
  *
- * <p>By due time alone, an overload makes every job late by a little. So jobs are taken in by due
- * time as long as the machines that serve such work now can finish all of them in time; when one
- * would be late, the largest taken in so far is put off: that keeps the most jobs in time. Those
- * put off are looked at again by the class's next deadline, and after that go by age.
+ * <p>Earliest deadline first makes every job a little late under overload. So jobs are admitted by
+ * their deadlines as long as the machines that serve such work now can finish all of them in time;
+ * when one would be late, the largest admitted so far is deferred: that keeps the most jobs in time
+ * (the rule of Moore and Hodgson). Deferred jobs are considered again for the class's next
+ * objective, a multiple of the deadline; those that are late for all of them are ordered by age.
  */
 final class DeadlineOrder {
-  /** Keys of work that is late for all its deadlines begin here. */
+  /** Keys of jobs that are late for all their deadlines begin here. */
   static final long LATE_KEY = Long.MAX_VALUE / 4;
 
-  private static final long TIER = LATE_KEY / 8;
+  /** The last tier, that of late jobs. */
+  private static final int LATE_TIER = 8;
 
-  private static final long AGAIN_MICROS = 300_000;
+  /** Far more than any time of day: what can be in time for an earlier objective comes first. */
+  private static final long TIER_WIDTH = LATE_KEY / LATE_TIER;
 
-  /** From the end of a task to the answer that tells of it. */
-  private static final long TOLD_MICROS = 3_000_000;
+  private static final long REFRESH_MICROS = 300_000;
 
-  /** What lies between a decision and a task at work. */
+  /** From the end of a task to the answer that reports it. */
+  private static final long COMPLETION_MICROS = 3_000_000;
+
+  /** From a decision to a running task. */
   private static final long START_MICROS = 1_500_000;
 
-  private record Entry(Job job, long workMicros, long runMicros, long dueMicros) {}
+  /** A job that may be admitted: the work that is left of it and when that has to end. */
+  private record Candidate(Job job, long workMicros, long runMicros, long dueMicros) {}
+
+  /** How many tasks of a job the machines, running or launching, can run at once. */
+  interface TaskSlots {
+    int count(JobSpec spec);
+  }
 
+  private final Policy policy;
   private final JobRegistry jobs;
   private final SliceRegistry slices;
   private final RuntimeEstimates estimates;
-  private final List<Double> times;
-  private final Map<String, Map<Double, Boolean>> known = new HashMap<>();
+  private final PriorityInheritance inheritance;
 
-  /** By class, what is wanted of its jobs besides deadlines: a start or an end within a time. */
-  private final Map<String, List<Settings.Objective>> others = new HashMap<>();
+  /** The multiples of the deadline that any objective names, in ascending order. */
+  private final List<Double> deadlineMultiples;
 
-  private final Policy policy;
-  private final PriorityInheritance inherited;
-  private final Map<String, Long> keys = new HashMap<>();
-  private long nextMicros;
-  private long seenChanges = -1;
-  private long seenWallMicros;
+  /** By class, the multiples that its objectives name. */
+  private final Map<String, Set<Double>> multiplesByClass = new HashMap<>();
+
+  /** By class, the objectives apart from deadlines: a start or an end within a time. */
+  private final Map<String, List<Settings.Objective>> otherObjectives = new HashMap<>();
+
+  private final Map<String, Long> keyByJob = new HashMap<>();
+  private long nextRefreshMicros;
+  private long seenChangeCount = -1;
+  private long refreshedWallMicros;
 
   DeadlineOrder(
       Settings settings,
@@ -67,181 +82,225 @@
     this.jobs = jobs;
     this.slices = slices;
     this.estimates = estimates;
-    this.inherited = new PriorityInheritance(jobs, estimates);
-    Set<Double> all = new HashSet<>();
-    for (Settings.Objective o : settings.objectives()) {
-      if (o.kind().equals("deadline")) {
-        known.computeIfAbsent(o.jobClass(), c -> new HashMap<>()).put(o.times(), true);
-        all.add(o.times());
-      } else if (o.jobClass() != null && (o.kind().equals("wait") || o.kind().equals("finished"))) {
-        others.computeIfAbsent(o.jobClass(), c -> new ArrayList<>()).add(o);
+    this.inheritance = new PriorityInheritance(jobs, estimates);
+    Set<Double> multiples = new HashSet<>();
+    for (Settings.Objective objective : settings.objectives()) {
+      String kind = objective.kind();
+      String jobClass = objective.jobClass();
+      if (kind.equals("deadline")) {
+        multiplesByClass.computeIfAbsent(jobClass, c -> new HashSet<>()).add(objective.times());
+        multiples.add(objective.times());
+      } else if (jobClass != null && (kind.equals("wait") || kind.equals("finished"))) {
+        otherObjectives.computeIfAbsent(jobClass, c -> new ArrayList<>()).add(objective);
       }
     }
-    times = all.stream().sorted().toList();
+    deadlineMultiples = multiples.stream().sorted().toList();
   }
 
-  /** The order of a job among those of its rank; lower goes first. */
+  /** The position of a job among those of its priority: the lowest key comes first. */
   long key(Job job) {
     if (job.spec().deadlineMicros() == 0) {
       return inheritedKey(job);
     }
-    Long key = keys.get(job.id());
+    Long key = keyByJob.get(job.id());
     return key == null ? job.submittedMicros() + job.spec().deadlineMicros() : key;
   }
 
-  /** A job without a deadline goes by that of its pipeline, as long as it can be met. */
+  /** A job without a deadline takes that of its pipeline, as long as it can be met. */
   private long inheritedKey(Job job) {
-    long latest = inherited.latestEndMicros(job);
+    long latestEnd = inheritance.latestEndMicros(job);
     boolean inTime =
-        latest < PriorityInheritance.NEVER
-            && seenWallMicros + START_MICROS + estimates.runMicros(job.spec()) <= latest;
-    return inTime ? latest : LATE_KEY - 1;
+        latestEnd < PriorityInheritance.NEVER
+            && refreshedWallMicros + START_MICROS + estimates.runMicros(job.spec()) <= latestEnd;
+    return inTime ? latestEnd : LATE_KEY - 1;
   }
 
-  /** A job's rank, or that of the most urgent job that waits for it. */
+  /** A job's priority, or that of the most urgent job that depends on it. */
   JobSpec.Priority priority(Job job) {
-    return inherited.priority(job);
+    return inheritance.priority(job);
   }
 
   /** By when a job has to end for its pipeline to be in time; see {@link PriorityInheritance}. */
   long latestEndMicros(Job job) {
-    return inherited.latestEndMicros(job);
+    return inheritance.latestEndMicros(job);
   }
 
-  /** Which of its deadlines a job with such a key can be in time for. */
+  /** Which of its deadline objectives a job with such a key can meet: 0 is the first, 8 none. */
   static int tier(long key) {
-    return (int) Math.min(key / TIER, 8);
+    return (int) Math.min(key / TIER_WIDTH, LATE_TIER);
   }
 
   /** Whether a job is late for all its deadlines, however soon its tasks run. */
   boolean isLate(Job job, long wallMicros) {
     double last = 0;
-    for (double time : known.getOrDefault(job.spec().jobClass(), Map.of()).keySet()) {
-      last = Math.max(last, time);
+    for (double multiple : multiplesOf(job)) {
+      last = Math.max(last, multiple);
     }
     return job.spec().deadlineMicros() > 0
-        && wallMicros + estimates.runMicros(job.spec())
-            > job.submittedMicros() + (long) (job.spec().deadlineMicros() * last);
+        && wallMicros + estimates.runMicros(job.spec()) > dueMicros(job, last);
   }
 
-  /** How many tasks of a job the machines, there or coming, have places for. */
-  interface Places {
-    int of(JobSpec spec);
+  private Set<Double> multiplesOf(Job job) {
+    return multiplesByClass.getOrDefault(job.spec().jobClass(), Set.of());
   }
 
-  /** Works the order out anew, now and then. */
-  void refresh(long nowMicros, long wallMicros, Places places) {
-    if (nowMicros < nextMicros && seenChanges == jobs.changeCount()) {
+  private static long dueMicros(Job job, double multiple) {
+    return job.submittedMicros() + (long) (job.spec().deadlineMicros() * multiple);
+  }
+
+  /** Computes the order anew if jobs have changed or the last time is long enough ago. */
+  void refresh(long nowMicros, long wallMicros, TaskSlots taskSlots) {
+    if (nowMicros < nextRefreshMicros && seenChangeCount == jobs.changeCount()) {
       return;
     }
-    nextMicros = nowMicros + AGAIN_MICROS;
-    seenChanges = jobs.changeCount();
-    seenWallMicros = wallMicros;
-    inherited.refresh();
-    keys.clear();
-    List<Job> open = new ArrayList<>();
-    int slots = 0;
+    nextRefreshMicros = nowMicros + REFRESH_MICROS;
+    seenChangeCount = jobs.changeCount();
+    refreshedWallMicros = wallMicros;
+    inheritance.refresh();
+    keyByJob.clear();
+    List<Job> open = jobsWithDeadlines();
+    int slots = open.isEmpty() ? 0 : slots(open, taskSlots);
+    List<Job> remaining = new ArrayList<>();
+    long workMicros = prioritizeLastChances(open, wallMicros, remaining);
+    for (int tier = 0; tier < deadlineMultiples.size() && !remaining.isEmpty(); tier++) {
+      List<Job> deferred = new ArrayList<>();
+      workMicros = admit(remaining, tier, Math.max(1, slots), workMicros, wallMicros, deferred);
+      remaining = deferred;
+    }
+    for (Job job : remaining) {
+      keyByJob.put(job.id(), LATE_KEY + job.submittedMicros());
+    }
+  }
+
+  private List<Job> jobsWithDeadlines() {
+    List<Job> found = new ArrayList<>();
     for (Job job : jobs.active()) {
       if (job.spec().deadlineMicros() > 0) {
-        open.add(job);
-        for (Slice s : slices.inShard(job.id())) {
-          slots += s.liveCount();
-        }
+        found.add(job);
       }
     }
-    if (!open.isEmpty()) {
-      slots = Math.max(slots, places.of(open.get(0).spec()));
-    }
-    // What was put off for its deadlines has other aims still: it goes among the first again once
-    // most of the time for the next of those is over. Without that, the largest would wait for the
-    // end of an overload, however long it lasts.
-    long doneWork = 0;
-    List<Job> inTime = new ArrayList<>();
+    return found;
+  }
+
+  /** How many tasks with deadlines run at once: as many as now at least. */
+  private int slots(List<Job> open, TaskSlots taskSlots) {
+    int running = 0;
     for (Job job : open) {
-      long latest = lastCallMicros(job, wallMicros);
-      if (latest > 0) {
-        keys.put(job.id(), latest);
-        doneWork += (estimates.runMicros(job.spec()) + START_MICROS) * todo(job);
-      } else {
-        inTime.add(job);
+      for (Slice slice : slices.inShard(job.id())) {
+        running += slice.liveCount();
       }
     }
-    open = inTime;
-    for (int i = 0; i < times.size() && !open.isEmpty(); i++) {
-      List<Job> late = new ArrayList<>();
-      doneWork = takeIn(open, times.get(i), i, Math.max(1, slots), doneWork, wallMicros, late);
-      open = late;
-    }
+    // Jobs with deadlines are taken to be alike: the first stands for all.
+    return Math.max(running, taskSlots.count(open.get(0).spec()));
+  }
+
+  /**
+   * Jobs that were deferred for their deadlines have other objectives still: they come first again
+   * once most of the time for the next of those is over. Without that, the largest would wait for
+   * the end of an overload, however long it lasts.
+   *
+   * @return the work of these jobs; all others are added to {@code others}
+   */
+  private long prioritizeLastChances(List<Job> open, long wallMicros, List<Job> others) {
+    long workMicros = 0;
     for (Job job : open) {
-      keys.put(job.id(), LATE_KEY + job.submittedMicros());
+      long lastChance = lastChanceMicros(job, wallMicros);
+      if (lastChance > 0) {
+        keyByJob.put(job.id(), lastChance);
+        workMicros += pendingWorkMicros(job, estimates.runMicros(job.spec()));
+      } else {
+        others.add(job);
+      }
     }
+    return workMicros;
   }
 
   /**
-   * By when a job must be done for the next aim, deadlines apart, that can still be met, if that
-   * comes near; 0 if none does.
+   * By when a job must be done for its next objective apart from deadlines that can still be met,
+   * if that time is near; 0 if there is none.
    */
-  private long lastCallMicros(Job job, long wall) {
+  private long lastChanceMicros(Job job, long wallMicros) {
     long run = estimates.runMicros(job.spec());
     long next = Long.MAX_VALUE;
-    for (Settings.Objective o : others.getOrDefault(job.spec().jobClass(), List.of())) {
-      long within = o.withinMicros() - START_MICROS;
-      long start = o.kind().equals("wait") ? within : within - run - TOLD_MICROS;
-      if (job.readyMicros() + start >= wall) {
-        next = Math.min(next, start);
+    for (Settings.Objective objective :
+        otherObjectives.getOrDefault(job.spec().jobClass(), List.of())) {
+      long within = objective.withinMicros() - START_MICROS;
+      long latestStart =
+          objective.kind().equals("wait") ? within : within - run - COMPLETION_MICROS;
+      if (job.readyMicros() + latestStart >= wallMicros) {
+        next = Math.min(next, latestStart);
       }
     }
-    double early = policy.number(Policy.Name.LAST_CALL);
-    boolean near = next < Long.MAX_VALUE && wall - job.readyMicros() >= next * (1 - early);
+    double fraction = policy.number(Policy.Name.LAST_CALL);
+    boolean near = next < Long.MAX_VALUE && wallMicros - job.readyMicros() >= next * (1 - fraction);
     return near ? job.readyMicros() + next + run : 0;
   }
 
-  private long takeIn(
-      List<Job> open, double time, int tier, int slots, long before, long wall, List<Job> late) {
-    List<Entry> entries = new ArrayList<>();
-    for (Job job : open) {
-      if (known.getOrDefault(job.spec().jobClass(), Map.of()).containsKey(time)) {
-        long run = estimates.runMicros(job.spec());
-        long due =
-            job.submittedMicros() + (long) (job.spec().deadlineMicros() * time) - TOLD_MICROS;
-        entries.add(new Entry(job, (run + START_MICROS) * todo(job), run, due));
-      } else {
-        late.add(job);
-      }
-    }
-    entries.sort(Comparator.comparingLong(Entry::dueMicros).thenComparing(e -> e.job().id()));
-    PriorityQueue<Entry> taken =
+  /**
+   * Admits jobs for one multiple of their deadlines, and gives them their keys.
+   *
+   * @param workBefore the work of all jobs that come before these
+   * @param deferred takes the jobs that can't be in time
+   * @return the work including that of the jobs admitted
+   */
+  private long admit(
+      List<Job> open, int tier, int slots, long workBefore, long wallMicros, List<Job> deferred) {
+    List<Candidate> candidates = candidates(open, deadlineMultiples.get(tier), deferred);
+    PriorityQueue<Candidate> admitted =
         new PriorityQueue<>(
-            Comparator.comparingLong(Entry::workMicros)
+            Comparator.comparingLong(Candidate::workMicros)
                 .reversed()
-                .thenComparing(e -> e.job().id()));
-    long work = before;
-    for (Entry e : entries) {
-      boolean alone = wall + START_MICROS + e.runMicros() <= e.dueMicros() || e.workMicros() == 0;
-      if (!alone) {
-        late.add(e.job());
+                .thenComparing(candidate -> candidate.job().id()));
+    long workMicros = workBefore;
+    for (Candidate candidate : candidates) {
+      if (!isFeasibleAlone(candidate, wallMicros)) {
+        deferred.add(candidate.job());
         continue;
       }
-      taken.add(e);
-      work += e.workMicros();
-      if (wall + work / slots > e.dueMicros()) {
-        Entry largest = taken.poll();
-        work -= largest.workMicros();
-        late.add(largest.job());
+      admitted.add(candidate);
+      workMicros += candidate.workMicros();
+      if (wallMicros + workMicros / slots > candidate.dueMicros()) {
+        Candidate largest = admitted.poll();
+        workMicros -= largest.workMicros();
+        deferred.add(largest.job());
       }
     }
-    for (Entry e : taken) {
-      // Tiers lie far apart: what can be in time for an earlier one goes first.
-      keys.put(e.job().id(), e.dueMicros() + tier * TIER);
+    for (Candidate candidate : admitted) {
+      keyByJob.put(candidate.job().id(), candidate.dueMicros() + tier * TIER_WIDTH);
+    }
+    return workMicros;
+  }
+
+  /** The jobs whose class has an objective for that multiple, by due time; others are deferred. */
+  private List<Candidate> candidates(List<Job> open, double multiple, List<Job> deferred) {
+    List<Candidate> candidates = new ArrayList<>();
+    for (Job job : open) {
+      if (multiplesOf(job).contains(multiple)) {
+        long due = dueMicros(job, multiple) - COMPLETION_MICROS;
+        long run = estimates.runMicros(job.spec());
+        candidates.add(new Candidate(job, pendingWorkMicros(job, run), run, due));
+      } else {
+        deferred.add(job);
+      }
     }
-    return work;
+    candidates.sort(
+        Comparator.comparingLong(Candidate::dueMicros)
+            .thenComparing(candidate -> candidate.job().id()));
+    return candidates;
+  }
+
+  /** Whether a job would be in time if its tasks started now, or has none left to start. */
+  private static boolean isFeasibleAlone(Candidate candidate, long wallMicros) {
+    return wallMicros + START_MICROS + candidate.runMicros() <= candidate.dueMicros()
+        || candidate.workMicros() == 0;
   }
 
-  private int todo(Job job) {
-    int sum = 0;
-    for (Slice s : slices.inShard(job.id())) {
-      sum += s.pendingCount();
+  /** The run time of all of a job's pending tasks. */
+  private long pendingWorkMicros(Job job, long runMicros) {
+    long tasks = 0;
+    for (Slice slice : slices.inShard(job.id())) {
+      tasks += slice.pendingCount();
     }
-    return sum;
+    return (runMicros + START_MICROS) * tasks;
   }
 }
--- a/src/main/java/gladeknot/scheduling/HomeShardSelector.java
+++ b/src/main/java/gladeknot/scheduling/HomeShardSelector.java
@@ -13,50 +13,50 @@
 import java.util.Map;
 
 /**
- * Chooses the home shard of a new job. Most jobs stay with the controller that accepts them. A
- * service lies whole in its home shard. Where a fetch of its image takes longer than its class
- * wants it to wait, it goes where most of its replicas find a machine with room that has the image
- * already.
+ * Selects the home shard of a new job. Most jobs stay with the controller that accepts them. A
+ * service lies whole in its home shard: where a fetch of its image takes longer than the objective
+ * of its class lets tasks wait, that is the shard in which most of its replicas find a machine with
+ * free resources that has the image already.
  */
 public final class HomeShardSelector {
+  private static final double MICROS_PER_SECOND = 1e6;
+
   private final Membership membership;
   private final JobRegistry jobs;
   private final WorkerRegistry workers;
   private final MachineTypes types;
 
-  /**
-   * How long tasks of a class may wait for their start; classes without such an aim are left out.
-   */
-  private final Map<String, Long> waitMicros = new HashMap<>();
+  /** By class, how long tasks may wait for their start; no entry for classes without a limit. */
+  private final Map<String, Long> maxWaitMicros = new HashMap<>();
 
-  /** A selector that goes by the machines and attempts in the followed copy. */
+  /** A selector that uses the machines and attempts in the controller's copy of the state. */
   public HomeShardSelector(
       Settings settings,
       Membership membership,
       JobRegistry jobs,
       WorkerRegistry workers,
       MachineTypes types) {
-    for (Settings.Objective objective : settings.objectives()) {
-      if (objective.kind().equals("wait")) {
-        waitMicros.merge(objective.jobClass(), objective.withinMicros(), Math::min);
-      }
-    }
     this.membership = membership;
     this.jobs = jobs;
     this.workers = workers;
     this.types = types;
+    for (Settings.Objective objective : settings.objectives()) {
+      if (objective.kind().equals("wait")) {
+        maxWaitMicros.merge(objective.jobClass(), objective.withinMicros(), Math::min);
+      }
+    }
   }
 
-  /** The shard that takes in a new job. */
+  /** The home shard of a new job. */
   public int home(JobSpec spec) {
     int best = membership.homeShard();
-    Long within = waitMicros.get(spec.jobClass());
-    if (spec.shape() != JobSpec.Shape.SERVICE || within == null) {
+    Long maxWait = maxWaitMicros.get(spec.jobClass());
+    if (spec.shape() != JobSpec.Shape.SERVICE || maxWait == null) {
       return best;
     }
-    int[] ready = readyReplicas(spec, within);
-    for (int shard = 0; shard < ready.length; shard++) {
-      boolean more = ready[shard] > ready[best];
+    int[] replicas = quickReplicasByShard(spec, maxWait);
+    for (int shard = 0; shard < replicas.length; shard++) {
+      boolean more = replicas[shard] > replicas[best];
       if (more && membership.liveOwner(shard) != null) {
         best = shard;
       }
@@ -65,30 +65,37 @@
   }
 
   /**
-   * For how many of a job's replicas each shard has room on machines that have the image and would
-   * otherwise fetch it for too long.
+   * For how many of a job's replicas each shard has free resources on machines that have the image
+   * and would otherwise take too long to fetch it.
    */
-  private int[] readyReplicas(JobSpec spec, long withinMicros) {
-    int[] ready = new int[membership.shardCount()];
+  private int[] quickReplicasByShard(JobSpec spec, long maxWaitMicros) {
+    int[] replicas = new int[membership.shardCount()];
     for (Worker worker : workers.all()) {
       MachineType type = types.get(worker.type());
-      boolean usable =
-          type != null && worker.registered() && !worker.terminating() && !worker.releasing();
-      if (usable && spec.allowsMachine(worker.type(), worker.zone(), worker.spot())) {
-        learnImages(worker, type);
-        double fetchMicros = spec.imageGb() / type.fetchGbPerS() * 1e6;
-        if (fetchMicros > withinMicros && worker.hasImage(spec.image())) {
-          int fitting = ready[worker.shard()] + CandidateMachine.of(worker, type).capacityFor(spec);
-          ready[worker.shard()] = Math.min(spec.tasks(), fitting);
-        }
+      if (type == null || !isUsable(worker, spec)) {
+        continue;
+      }
+      learnImages(worker, type);
+      double fetchMicros = spec.imageGb() / type.fetchGbPerS() * MICROS_PER_SECOND;
+      if (fetchMicros > maxWaitMicros && worker.hasImage(spec.image())) {
+        int shard = worker.shard();
+        int capacity = CandidateMachine.of(worker, type).capacityFor(spec);
+        replicas[shard] = Math.min(spec.tasks(), replicas[shard] + capacity);
       }
     }
-    return ready;
+    return replicas;
+  }
+
+  private static boolean isUsable(Worker worker, JobSpec spec) {
+    return worker.registered()
+        && !worker.terminating()
+        && !worker.releasing()
+        && spec.allowsMachine(worker.type(), worker.zone(), worker.spot());
   }
 
   /**
-   * Other controllers' machines don't report here: what runs on them by the copy tells which images
-   * they have.
+   * Workers of other controllers' shards send no heartbeats here: the tasks that they run by the
+   * copy of the state show which images they have.
    */
   private void learnImages(Worker worker, MachineType type) {
     if (membership.ownedShards().contains(worker.shard())) {
