--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -11,6 +11,7 @@
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobRequestHandler;
 import gladeknot.jobs.JobSpec;
+import gladeknot.jobs.TaskCounts;
 import gladeknot.json.Json;
 import gladeknot.lifecycle.TaskLifecycle;
 import gladeknot.membership.Membership;
@@ -23,6 +24,8 @@
 import gladeknot.scheduling.Scheduler;
 import gladeknot.settings.Features;
 import gladeknot.settings.Settings;
+import gladeknot.state.Change;
+import gladeknot.state.ChangeListener;
 import gladeknot.state.StateStore;
 import gladeknot.tasks.SegmentLayout;
 import gladeknot.tasks.SliceRegistry;
@@ -31,6 +34,8 @@
 import gladeknot.workers.HeartbeatHandler;
 import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerCommand;
+import gladeknot.workers.WorkerRecordCodec;
 import gladeknot.workers.WorkerRegistry;
 import java.util.List;
 import java.util.Map;
@@ -41,7 +46,7 @@
  * The whole controller as a state machine: time, requests and replies go in, calls and answers come
  * out of its {@link Outbox}.
  */
-public final class Controller implements StateStore.Listener {
+public final class Controller implements ChangeListener {
   private final Outbox outbox = new Outbox();
   private final Optional<ConnectivityMonitor> connectivity;
   private final StateStore stateStore;
@@ -248,23 +253,23 @@
    * records are read by what is known of their jobs, then what the records and other keys say.
    */
   @Override
-  public void onChanges(List<StateStore.Change> changes) {
-    for (StateStore.Change change : changes) {
+  public void onChanges(List<Change> changes) {
+    for (Change change : changes) {
       if (change.key().startsWith(SegmentLayout.KEY_PREFIX)) {
         slices.onSegmentChange(change);
       } else if (change.key().equals(StorageFormat.key())) {
         membership.format().onChange();
       }
     }
-    for (StateStore.Change change : changes) {
+    for (Change change : changes) {
       if (change.key().startsWith(Job.KEY_PREFIX)) {
         jobs.onChange(change.key(), change.after());
       }
     }
-    for (StateStore.Change change : changes) {
+    for (Change change : changes) {
       if (change.key().startsWith(SegmentLayout.KEY_PREFIX)) {
         scheduler.onSegmentChange(change.key());
-      } else if (change.key().startsWith(Worker.KEY_PREFIX)) {
+      } else if (change.key().startsWith(WorkerRecordCodec.KEY_PREFIX)) {
         workers.onChange(change.key(), change.before(), change.after());
         scheduler.requestScheduling();
       } else if (!change.key().startsWith(Job.KEY_PREFIX)) {
@@ -315,7 +320,7 @@
   /** What the handler of reports asks of placement and fleet. */
   private final class WorkerSync implements HeartbeatHandler.Reconciler {
     @Override
-    public List<Map<String, Object>> reconcile(Worker worker, Heartbeat report) {
+    public List<WorkerCommand> reconcile(Worker worker, Heartbeat report) {
       return scheduler.reconcile(worker, report);
     }
 
@@ -336,7 +341,7 @@
     }
 
     @Override
-    public List<Map<String, Object>> killsForFinishedJobs(Heartbeat report) {
+    public List<WorkerCommand> killsForFinishedJobs(Heartbeat report) {
       return scheduler.killsForFinishedJobs(report);
     }
 
@@ -368,7 +373,7 @@
     }
 
     @Override
-    public int[] taskCounts(Job job) {
+    public TaskCounts taskCounts(Job job) {
       return scheduler.taskCounts(job);
     }
 
--- a/src/main/java/gladeknot/fleet/Fleet.java
+++ b/src/main/java/gladeknot/fleet/Fleet.java
@@ -1,5 +1,7 @@
 package gladeknot.fleet;
 
+import gladeknot.commit.FieldMutation;
+import gladeknot.commit.MutationCallback;
 import gladeknot.commit.TransactionCommitter;
 import gladeknot.connectivity.ControlAction;
 import gladeknot.jobs.Job;
@@ -11,6 +13,7 @@
 import gladeknot.policy.Policy;
 import gladeknot.scheduling.PendingDemand;
 import gladeknot.scheduling.Scheduler;
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
 import gladeknot.state.TokenBucket;
@@ -19,6 +22,8 @@
 import gladeknot.workers.Heartbeat;
 import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerRecord;
+import gladeknot.workers.WorkerRecordCodec;
 import gladeknot.workers.WorkerRegistry;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -28,7 +33,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -387,7 +391,7 @@
   private double target(Demand.Load load) {
     JobSpec spec = load.like();
     double spread = policy.number(Policy.Name.SPREAD);
-    Settings.Objective wait = objective("wait", spec.jobClass());
+    Settings.Objective wait = objective(ObjectiveKind.WAIT, spec.jobClass());
     if (spec.shape() == JobSpec.Shape.SERVICE) {
       if (wait == null) {
         return 0;
@@ -406,9 +410,9 @@
             : policy.number(Policy.Name.FILL));
   }
 
-  private Settings.Objective objective(String kind, String jobClass) {
+  private Settings.Objective objective(ObjectiveKind kind, String jobClass) {
     for (Settings.Objective o : settings.objectives()) {
-      if (o.kind().equals(kind) && jobClass.equals(o.jobClass())) {
+      if (o.kind() == kind && jobClass.equals(o.jobClass())) {
         return o;
       }
     }
@@ -524,7 +528,7 @@
     if (spec.deadlineMicros() > 0) {
       long soonest = offers.soonest(spec);
       for (Settings.Objective o : settings.objectives()) {
-        if (o.kind().equals("deadline") && spec.jobClass().equals(o.jobClass())) {
+        if (o.kind() == ObjectiveKind.DEADLINE && spec.jobClass().equals(o.jobClass())) {
           long left = (long) (spec.deadlineMicros() * o.times()) - age - run - TOLD_MICROS;
           if (left >= soonest || nowMicros + left >= at) {
             double haste = left > 0 ? policy.number(Policy.Name.HASTE) : 1;
@@ -543,7 +547,7 @@
   /** How long a job's tasks may still wait by its class's aim, or by the policy. */
   private long waitLeft(Job job) {
     for (Settings.Objective o : settings.objectives()) {
-      if (o.kind().equals("wait") && job.spec().jobClass().equals(o.jobClass())) {
+      if (o.kind() == ObjectiveKind.WAIT && job.spec().jobClass().equals(o.jobClass())) {
         return Math.max(0, o.withinMicros() - Math.max(0, wallMicros - job.readyMicros()));
       }
     }
@@ -693,17 +697,17 @@
         host,
         by,
         null,
-        Worker.record(shard, type, zone, spot, wallMicros, false),
+        WorkerRecordCodec.encode(new WorkerRecord(shard, type, zone, spot, wallMicros, false)),
         done -> {
           adopting.remove(host);
           scheduler.requestScheduling();
         });
   }
 
-  private void edit(String host, int shard, String from, String to, Consumer<Boolean> then) {
+  private void edit(String host, int shard, String from, String to, MutationCallback then) {
     recordWriter.submit(
-        new TransactionCommitter.FieldMutation(
-            shard, Worker.key(host), Worker.field(host), from, to, then));
+        new FieldMutation(
+            shard, WorkerRecordCodec.key(host), WorkerRecordCodec.field(host), from, to, then));
   }
 
   /** A machine that reports and that nobody has entered. */
--- a/src/main/java/gladeknot/scheduling/DeadlineOrder.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineOrder.java
@@ -4,6 +4,7 @@
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.policy.Policy;
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import gladeknot.tasks.RuntimeEstimates;
 import gladeknot.tasks.Slice;
@@ -85,12 +86,13 @@
     this.inheritance = new PriorityInheritance(jobs, estimates);
     Set<Double> multiples = new HashSet<>();
     for (Settings.Objective objective : settings.objectives()) {
-      String kind = objective.kind();
+      ObjectiveKind kind = objective.kind();
       String jobClass = objective.jobClass();
-      if (kind.equals("deadline")) {
+      if (kind == ObjectiveKind.DEADLINE) {
         multiplesByClass.computeIfAbsent(jobClass, c -> new HashSet<>()).add(objective.times());
         multiples.add(objective.times());
-      } else if (jobClass != null && (kind.equals("wait") || kind.equals("finished"))) {
+      } else if (jobClass != null
+          && (kind == ObjectiveKind.WAIT || kind == ObjectiveKind.FINISHED)) {
         otherObjectives.computeIfAbsent(jobClass, c -> new ArrayList<>()).add(objective);
       }
     }
@@ -186,7 +188,7 @@
   private int slots(List<Job> open, TaskSlots taskSlots) {
     int running = 0;
     for (Job job : open) {
-      for (Slice slice : slices.inShard(job.id())) {
+      for (Slice slice : slices.ofJob(job.id())) {
         running += slice.liveCount();
       }
     }
@@ -226,7 +228,7 @@
         otherObjectives.getOrDefault(job.spec().jobClass(), List.of())) {
       long within = objective.withinMicros() - START_MICROS;
       long latestStart =
-          objective.kind().equals("wait") ? within : within - run - COMPLETION_MICROS;
+          objective.kind() == ObjectiveKind.WAIT ? within : within - run - COMPLETION_MICROS;
       if (job.readyMicros() + latestStart >= wallMicros) {
         next = Math.min(next, latestStart);
       }
@@ -298,7 +300,7 @@
   /** The run time of all of a job's pending tasks. */
   private long pendingWorkMicros(Job job, long runMicros) {
     long tasks = 0;
-    for (Slice slice : slices.inShard(job.id())) {
+    for (Slice slice : slices.ofJob(job.id())) {
       tasks += slice.pendingCount();
     }
     return (runMicros + START_MICROS) * tasks;
--- a/src/main/java/gladeknot/scheduling/HomeShardSelector.java
+++ b/src/main/java/gladeknot/scheduling/HomeShardSelector.java
@@ -4,6 +4,7 @@
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.membership.Membership;
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import gladeknot.tasks.Attempt;
 import gladeknot.workers.MachineType;
@@ -41,7 +42,7 @@
     this.workers = workers;
     this.types = types;
     for (Settings.Objective objective : settings.objectives()) {
-      if (objective.kind().equals("wait")) {
+      if (objective.kind() == ObjectiveKind.WAIT) {
         maxWaitMicros.merge(objective.jobClass(), objective.withinMicros(), Math::min);
       }
     }
--- a/src/main/java/gladeknot/scheduling/RemainingQuota.java
+++ b/src/main/java/gladeknot/scheduling/RemainingQuota.java
@@ -2,7 +2,7 @@
 
 import gladeknot.jobs.JobSpec;
 import gladeknot.quota.QuotaAllocator;
-import gladeknot.quota.QuotaAllocator.ResourceAmount;
+import gladeknot.quota.ResourceAmount;
 import java.util.HashMap;
 import java.util.Map;
 
--- a/src/main/java/gladeknot/scheduling/ReservationPlan.java
+++ b/src/main/java/gladeknot/scheduling/ReservationPlan.java
@@ -24,8 +24,11 @@
   private final Map<String, Integer> tasksByZone;
   private final List<Option> options = new ArrayList<>();
 
-  /** In the order in which they were chosen, which is the order of their kill commands. */
-  private final Set<Attempt> victims = new LinkedHashSet<>();
+  /**
+   * In the order in which they were chosen, which is the order of their kill commands. Most plans
+   * have none: the set is created with the first.
+   */
+  private Set<Attempt> victims = Set.of();
 
   /** A machine for a task, at the cost of what is preempted there and of the machine's score. */
   private record Option(CandidateMachine machine, Preemption.Plan preemptions, double cost) {}
@@ -128,6 +131,9 @@
   private CandidateMachine take(Option option) {
     CandidateMachine machine = option.machine();
     for (Attempt victim : option.preemptions().victims()) {
+      if (victims.isEmpty()) {
+        victims = new LinkedHashSet<>();
+      }
       victims.add(victim);
       machine.addTerminating(victim.slice());
     }
--- a/src/main/java/gladeknot/scheduling/ScaleOutDemand.java
+++ b/src/main/java/gladeknot/scheduling/ScaleOutDemand.java
@@ -3,7 +3,7 @@
 import gladeknot.jobs.JobSpec;
 import gladeknot.policy.Policy;
 import gladeknot.quota.QuotaAllocator;
-import gladeknot.quota.QuotaAllocator.ResourceAmount;
+import gladeknot.quota.ResourceAmount;
 import gladeknot.tasks.Slice;
 import gladeknot.tasks.SliceRegistry;
 import java.util.ArrayList;
--- a/src/main/java/gladeknot/scheduling/TeamGuarantees.java
+++ b/src/main/java/gladeknot/scheduling/TeamGuarantees.java
@@ -102,7 +102,7 @@
 
   private long unfinishedTasks(Job job) {
     long count = job.tasks();
-    for (Slice slice : slices.inShard(job.id())) {
+    for (Slice slice : slices.ofJob(job.id())) {
       count -= slice.done().cardinality();
     }
     return count;
