--- a/src/main/java/gladeknot/scheduling/DeadlineOrder.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineOrder.java
@@ -12,11 +12,9 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import java.util.Set;
 
 /**
  * The order of jobs with deadlines when not all of them can be in time.
@@ -59,15 +57,7 @@
   private final RuntimeEstimates estimates;
   private final PriorityInheritance inheritance;
 
-  /** The multiples of the deadline that any objective names, in ascending order. */
-  private final List<Double> deadlineMultiples;
-
-  /** By class, the multiples that its objectives name. */
-  private final Map<String, Set<Double>> multiplesByClass = new HashMap<>();
-
-  /** By class, the objectives apart from deadlines: a start or an end within a time. */
-  private final Map<String, List<Settings.Objective>> otherObjectives = new HashMap<>();
-
+  private final DeadlineObjectives objectives;
   private final Map<String, Long> keyByJob = new HashMap<>();
   private long nextRefreshMicros;
   private long seenChangeCount = -1;
@@ -84,19 +74,7 @@
     this.slices = slices;
     this.estimates = estimates;
     this.inheritance = new PriorityInheritance(jobs, estimates);
-    Set<Double> multiples = new HashSet<>();
-    for (Settings.Objective objective : settings.objectives()) {
-      ObjectiveKind kind = objective.kind();
-      String jobClass = objective.jobClass();
-      if (kind == ObjectiveKind.DEADLINE) {
-        multiplesByClass.computeIfAbsent(jobClass, c -> new HashSet<>()).add(objective.times());
-        multiples.add(objective.times());
-      } else if (jobClass != null
-          && (kind == ObjectiveKind.WAIT || kind == ObjectiveKind.FINISHED)) {
-        otherObjectives.computeIfAbsent(jobClass, c -> new ArrayList<>()).add(objective);
-      }
-    }
-    deadlineMultiples = multiples.stream().sorted().toList();
+    this.objectives = new DeadlineObjectives(settings);
   }
 
   /** The position of a job among those of its priority: the lowest key comes first. */
@@ -135,17 +113,13 @@
   /** Whether a job is late for all its deadlines, however soon its tasks run. */
   boolean isLate(Job job, long wallMicros) {
     double last = 0;
-    for (double multiple : multiplesOf(job)) {
+    for (double multiple : objectives.multiplesOf(job)) {
       last = Math.max(last, multiple);
     }
     return job.spec().deadlineMicros() > 0
         && wallMicros + estimates.runMicros(job.spec()) > dueMicros(job, last);
   }
 
-  private Set<Double> multiplesOf(Job job) {
-    return multiplesByClass.getOrDefault(job.spec().jobClass(), Set.of());
-  }
-
   private static long dueMicros(Job job, double multiple) {
     return job.submittedMicros() + (long) (job.spec().deadlineMicros() * multiple);
   }
@@ -164,7 +138,8 @@
     int slots = open.isEmpty() ? 0 : slots(open, taskSlots);
     List<Job> remaining = new ArrayList<>();
     long workMicros = prioritizeLastChances(open, wallMicros, remaining);
-    for (int tier = 0; tier < deadlineMultiples.size() && !remaining.isEmpty(); tier++) {
+    int tiers = objectives.deadlineMultiples().size();
+    for (int tier = 0; tier < tiers && !remaining.isEmpty(); tier++) {
       List<Job> deferred = new ArrayList<>();
       workMicros = admit(remaining, tier, Math.max(1, slots), workMicros, wallMicros, deferred);
       remaining = deferred;
@@ -224,8 +199,7 @@
   private long lastChanceMicros(Job job, long wallMicros) {
     long run = estimates.runMicros(job.spec());
     long next = Long.MAX_VALUE;
-    for (Settings.Objective objective :
-        otherObjectives.getOrDefault(job.spec().jobClass(), List.of())) {
+    for (Settings.Objective objective : objectives.othersOf(job)) {
       long within = objective.withinMicros() - START_MICROS;
       long latestStart =
           objective.kind() == ObjectiveKind.WAIT ? within : within - run - COMPLETION_MICROS;
@@ -247,7 +221,8 @@
    */
   private long admit(
       List<Job> open, int tier, int slots, long workBefore, long wallMicros, List<Job> deferred) {
-    List<Candidate> candidates = candidates(open, deadlineMultiples.get(tier), deferred);
+    List<Candidate> candidates =
+        candidates(open, objectives.deadlineMultiples().get(tier), deferred);
     PriorityQueue<Candidate> admitted =
         new PriorityQueue<>(
             Comparator.comparingLong(Candidate::workMicros)
@@ -277,7 +252,7 @@
   private List<Candidate> candidates(List<Job> open, double multiple, List<Job> deferred) {
     List<Candidate> candidates = new ArrayList<>();
     for (Job job : open) {
-      if (multiplesOf(job).contains(multiple)) {
+      if (objectives.multiplesOf(job).contains(multiple)) {
         long due = dueMicros(job, multiple) - COMPLETION_MICROS;
         long run = estimates.runMicros(job.spec());
         candidates.add(new Candidate(job, pendingWorkMicros(job, run), run, due));
