--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -7,6 +7,7 @@
 import gladeknot.connectivity.FailoverAdvisor;
 import gladeknot.connectivity.HeartbeatObserver;
 import gladeknot.fleet.Fleet;
+import gladeknot.fleet.InstanceCatalog;
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobRequestHandler;
@@ -60,6 +61,7 @@
   private final TaskLifecycle scheduler;
   private final Scheduler placer;
   private final QuotaAllocator budgets;
+  private final InstanceCatalog catalog = new InstanceCatalog();
   private final Fleet fleet;
   private final HomeShardSelector homes;
   private final String nodeName;
@@ -109,9 +111,6 @@
             this::cacheGb,
             tracer);
     budgets = new QuotaAllocator(settings, stateStore, membership, slices, recordWriter, outbox);
-    fleet =
-        new Fleet(
-            settings, policy, stateStore, membership, workers, recordWriter, scheduler, outbox);
     placer =
         new Scheduler(
             settings,
@@ -123,10 +122,21 @@
             recordWriter,
             budgets,
             scheduler,
-            fleet::type,
-            fleet::zonesOffered);
-    fleet.setPlacer(placer);
-    homes = new HomeShardSelector(settings, membership, jobs, workers, fleet::type);
+            catalog::type,
+            catalog::zones);
+    fleet =
+        new Fleet(
+            settings,
+            policy,
+            stateStore,
+            membership,
+            workers,
+            recordWriter,
+            scheduler,
+            outbox,
+            catalog,
+            new FleetSchedulerView(placer));
+    homes = new HomeShardSelector(settings, membership, jobs, workers, catalog::type);
     recordWriter.afterCommit(
         () -> {
           scheduler.requestScheduling();
@@ -155,7 +165,7 @@
   }
 
   private double cacheGb(String type) {
-    MachineType t = fleet.type(type);
+    MachineType t = catalog.type(type);
     return t == null ? 0 : t.cacheGb();
   }
 
@@ -241,7 +251,7 @@
   }
 
   private void health(long id) {
-    if (stateStore.loaded() && membership.mayAct() && fleet.typesKnown()) {
+    if (stateStore.loaded() && membership.mayAct() && catalog.isKnown()) {
       outbox.answer(id, 200, Json.of("ok", true));
     } else {
       outbox.retryLater(id, 503, "not ready", 1);
@@ -359,12 +369,12 @@
   private final class JobSurroundings implements JobRequestHandler.ClusterView {
     @Override
     public boolean typesKnown() {
-      return fleet.typesKnown();
+      return catalog.isKnown();
     }
 
     @Override
     public boolean fitsSomeType(JobSpec spec) {
-      return fleet.fitsSomeType(spec);
+      return catalog.fitsSomeType(spec);
     }
 
     @Override
