--- a/src/main/java/gladeknot/scheduling/TaskClaimer.java
+++ b/src/main/java/gladeknot/scheduling/TaskClaimer.java
@@ -108,7 +108,7 @@
       slices.discardIfEmpty(own);
       return 0;
     }
-    own.pendingClaims().put(remote, tasks);
+    own.addClaim(remote, tasks);
     committer.markDirty(own);
     LOG.info(
         "tasks claimed job={} tasks={} from_shard={} to_shard={}",
--- a/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
@@ -128,11 +128,11 @@
       jobs.onChange(Job.key(w.id()), new Entry(Json.of("s", spec, "h", 0, "t", at), 1));
       slices.jobChanged(w.id(), jobs.active(w.id()));
     }
-    DeadlineOrder urgency =
+    DeadlineOrder deadlineOrder =
         new DeadlineOrder(settings, Policy.of(""), jobs, slices, new RuntimeEstimates());
-    urgency.refresh(NOW, NOW, spec -> 1);
+    deadlineOrder.refresh(NOW, NOW, spec -> 1);
     return jobs.active().stream()
-        .sorted(Comparator.comparingLong(urgency::key))
+        .sorted(Comparator.comparingLong(deadlineOrder::key))
         .map(Job::id)
         .toList();
   }
