--- a/src/main/java/gladeknot/commit/KeyMutation.java
+++ b/src/main/java/gladeknot/commit/KeyMutation.java
@@ -1,6 +1,7 @@
 package gladeknot.commit;
 
 import gladeknot.state.StateStore;
+import java.util.List;
 import java.util.Map;
 
 /**
@@ -15,4 +16,15 @@
     int shard,
     StateStore.Mutation mutation,
     Map<String, Long> conditions,
-    MutationCallback callback) {}
+    MutationCallback callback) {
+
+  /** Whether it was decided on the revision of one of some keys. */
+  boolean reliesOnAny(List<String> keys) {
+    for (String key : keys) {
+      if (conditions.containsKey(key)) {
+        return true;
+      }
+    }
+    return false;
+  }
+}
--- /dev/null
+++ b/src/main/java/gladeknot/commit/OutcomeHandler.java
@@ -0,0 +1,171 @@
+package gladeknot.commit;
+
+import gladeknot.membership.Membership;
+import gladeknot.state.StateStore;
+import gladeknot.state.StateStore.CommitOutcome;
+import gladeknot.state.StateStore.CommitStatus;
+import gladeknot.tasks.Attempt;
+import gladeknot.tasks.Slice;
+import gladeknot.tasks.SliceRegistry;
+import gladeknot.tracing.TaskTracer;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Applies the outcome of a transaction to the slices and mutations that were in it. */
+final class OutcomeHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(OutcomeHandler.class);
+
+  /** How long nothing is sent after a transaction that was surely not executed. */
+  private static final long PAUSE_MICROS = 150_000;
+
+  private final StateStore stateStore;
+  private final Membership membership;
+  private final SliceRegistry slices;
+  private final TaskTracer tracer;
+  private final PendingChanges pending;
+  private final SliceReloader reloader;
+  private final BatchLimits limits;
+  private final CommitState state;
+  private CommitListener listener = () -> {};
+
+  OutcomeHandler(
+      StateStore stateStore,
+      Membership membership,
+      SliceRegistry slices,
+      TaskTracer tracer,
+      PendingChanges pending,
+      SliceReloader reloader,
+      BatchLimits limits,
+      CommitState state) {
+    this.stateStore = stateStore;
+    this.membership = membership;
+    this.slices = slices;
+    this.tracer = tracer;
+    this.pending = pending;
+    this.reloader = reloader;
+    this.limits = limits;
+    this.state = state;
+  }
+
+  /** Sets who hears of each outcome after it has been applied. */
+  void setListener(CommitListener newListener) {
+    listener = newListener;
+  }
+
+  /** The transaction in flight has an outcome. */
+  void onOutcome(TransactionBatch batch, CommitOutcome outcome) {
+    state.end();
+    if (outcome.status() == CommitStatus.CONFLICT) {
+      onConflict(batch, outcome);
+      return;
+    }
+    switch (outcome.status()) {
+      case COMMITTED -> onCommitted(batch);
+      case UNKNOWN -> onUnknown(batch);
+      default -> onNotExecuted(batch, outcome.status());
+    }
+    listener.onOutcomeApplied();
+  }
+
+  private void onCommitted(TransactionBatch batch) {
+    limits.onCommitted();
+    batch.packedValues().forEach(slices.segments()::onSegmentWritten);
+    batch.slices().forEach(this::onSliceCommitted);
+    batch.keyMutations().forEach(mutation -> mutation.callback().onOutcome(true));
+    batch.fieldMutations().forEach(mutation -> mutation.callback().onOutcome(true));
+    batch.packedKeys().forEach(reloader::refreshSegment);
+  }
+
+  private void onSliceCommitted(SliceSnapshot snapshot) {
+    Slice slice = snapshot.slice();
+    if (!slices.contains(slice)) {
+      // Its job ended before it was known that its first start was committed: the record counts.
+      reloader.reload(slice);
+      return;
+    }
+    slice.markStored(snapshot.key(), snapshot.done());
+    snapshot.live().forEach(this::onStartCommitted);
+    snapshot.closed().forEach(slices::removeAttempt);
+    for (Slice from : snapshot.claims().keySet()) {
+      slice.removeClaim(from);
+      reloader.load(from.shard(), from.job());
+    }
+    if (slice.version() == snapshot.version()) {
+      pending.remove(slice);
+      slice.markClean();
+    }
+    if (!slices.segments().value(slice.key()).contains(slice.job())) {
+      reloader.discardChanges(slice);
+    }
+  }
+
+  private void onStartCommitted(Attempt attempt) {
+    if (attempt.committed()) {
+      return;
+    }
+    attempt.markCommitted();
+    int shard = attempt.slice().shard();
+    tracer.committed(attempt.traceId(), attempt.host(), shard, membership.term(shard));
+    LOG.info("attempt started attempt={} shard={} term={}", attempt, shard, membership.term(shard));
+  }
+
+  private void onConflict(TransactionBatch batch, CommitOutcome outcome) {
+    LOG.info("transaction conflicted keys={}", outcome.conflictingKeys());
+    state.awaitRevision();
+    stateStore.whenRevisionReached(
+        outcome.revision(),
+        () -> {
+          state.revisionReached();
+          dropConflicting(batch, outcome.conflictingKeys());
+          listener.onOutcomeApplied();
+        });
+  }
+
+  /** Drops what was decided on keys that have changed; the rest of the batch waits again. */
+  private void dropConflicting(TransactionBatch batch, List<String> changedKeys) {
+    batch.packedKeys().forEach(reloader::refreshSegment);
+    for (SliceSnapshot snapshot : batch.slices()) {
+      if (snapshot.reliesOnAny(changedKeys) && pending.isDirty(snapshot.slice())) {
+        reloader.reload(snapshot.slice());
+      }
+    }
+    for (KeyMutation mutation : batch.keyMutations()) {
+      if (mutation.reliesOnAny(changedKeys)) {
+        mutation.callback().onOutcome(false);
+      } else {
+        pending.submit(mutation);
+      }
+    }
+    pending.resubmitFieldMutations(batch);
+  }
+
+  /**
+   * The transaction may have been executed, or may be later. A new revision of each shard's key
+   * rules out the latter; then the state store's copy shows what has been.
+   */
+  private void onUnknown(TransactionBatch batch) {
+    Set<Integer> shards = new TreeSet<>();
+    batch.slices().forEach(snapshot -> shards.add(snapshot.slice().shard()));
+    batch.keyMutations().forEach(mutation -> shards.add(mutation.shard()));
+    batch.fieldMutations().forEach(mutation -> shards.add(mutation.shard()));
+    LOG.info("transaction outcome unknown shards={}", shards);
+    shards.forEach(membership::markInDoubt);
+    retryLater(batch);
+  }
+
+  private void onNotExecuted(TransactionBatch batch, CommitStatus status) {
+    if (status == CommitStatus.REJECTED) {
+      limits.onRejected();
+    }
+    state.pause(PAUSE_MICROS);
+    retryLater(batch);
+  }
+
+  private void retryLater(TransactionBatch batch) {
+    pending.resubmit(batch);
+    batch.packedKeys().forEach(reloader::refreshSegment);
+  }
+}
--- a/src/main/java/gladeknot/commit/SegmentMigration.java
+++ b/src/main/java/gladeknot/commit/SegmentMigration.java
@@ -8,58 +8,85 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /**
- * Chooses which slices move next from a part of an earlier format to the parts where they belong.
+ * Chooses which slices move next from a segment of an earlier storage format to the segments where
+ * they belong.
  *
- * <p>What is left of a part must fit the largest value, so each step takes as many of its pieces as
- * one transaction can, the largest first.
+ * <p>What remains in a segment must fit the largest value, so each step moves as many groups of
+ * slices with one target as one transaction can, the largest first.
  */
 final class SegmentMigration {
-  /** One step: the slices of one part that move, and those that stay in it for now. */
-  record Step(String part, List<Slice> moving, List<Slice> staying) {}
+  /**
+   * One step.
+   *
+   * @param segment the key of the segment that is emptied
+   * @param moving the slices that move
+   * @param staying the slices that remain in the segment until another step, or for good
+   */
+  record Step(String segment, List<Slice> moving, List<Slice> staying) {}
 
   private SegmentMigration() {}
 
   /**
    * The next step for a shard's slices.
    *
-   * @param operations how many keys a transaction may change
-   * @param unmovable parts that are left out
-   * @return null if no slice that is free to move is out of place
+   * @param maxOperations how many keys a transaction may change
+   * @param unmovable segments that are left out
+   * @return empty if no slice that may be moved is out of place
    */
-  static Step next(Collection<Slice> slices, int operations, Set<String> unmovable) {
-    String part = null;
-    Map<String, List<Slice>> pieces = new LinkedHashMap<>();
-    for (Slice s : slices) {
-      boolean movable =
-          s.needsMigration() && s.pendingClaims().isEmpty() && !unmovable.contains(s.storedKey());
-      if (movable && (part == null || part.equals(s.storedKey()))) {
-        part = s.storedKey();
-        pieces.computeIfAbsent(s.targetKey(), key -> new ArrayList<>()).add(s);
+  static Optional<Step> next(Collection<Slice> slices, int maxOperations, Set<String> unmovable) {
+    String segment = null;
+    Map<String, List<Slice>> groups = new LinkedHashMap<>();
+    for (Slice slice : slices) {
+      boolean wanted = segment == null || segment.equals(slice.storedKey());
+      if (wanted && isMovable(slice, unmovable)) {
+        segment = slice.storedKey();
+        groups.computeIfAbsent(slice.targetKey(), key -> new ArrayList<>()).add(slice);
       }
     }
-    if (part == null) {
-      return null;
+    if (segment == null) {
+      return Optional.empty();
     }
-    List<List<Slice>> bySize = new ArrayList<>(pieces.values());
+    // One of the operations changes the segment itself.
+    List<Slice> moving = largest(groups.values(), maxOperations - 1);
+    return Optional.of(new Step(segment, moving, staying(slices, segment, moving)));
+  }
+
+  private static boolean isMovable(Slice slice, Set<String> unmovable) {
+    return slice.needsMigration()
+        && slice.pendingClaims().isEmpty()
+        && !unmovable.contains(slice.storedKey());
+  }
+
+  private static List<Slice> largest(Collection<List<Slice>> groups, int maxGroups) {
+    List<List<Slice>> bySize = new ArrayList<>(groups);
     bySize.sort(Comparator.comparingInt(SegmentMigration::size).reversed());
-    List<Slice> moving = new ArrayList<>();
-    for (List<Slice> piece : bySize.subList(0, Math.min(operations - 1, bySize.size()))) {
-      moving.addAll(piece);
+    List<Slice> chosen = new ArrayList<>();
+    for (List<Slice> group : bySize.subList(0, Math.min(maxGroups, bySize.size()))) {
+      chosen.addAll(group);
     }
+    return chosen;
+  }
+
+  private static List<Slice> staying(Collection<Slice> slices, String segment, List<Slice> moving) {
     Set<Slice> moved = new HashSet<>(moving);
     List<Slice> staying = new ArrayList<>();
-    for (Slice s : slices) {
-      if (part.equals(s.storedKey()) && !moved.contains(s)) {
-        staying.add(s);
+    for (Slice slice : slices) {
+      if (segment.equals(slice.storedKey()) && !moved.contains(slice)) {
+        staying.add(slice);
       }
     }
-    return new Step(part, moving, staying);
+    return staying;
   }
 
-  private static int size(List<Slice> piece) {
-    return piece.stream().mapToInt(s -> s.encode().length()).sum();
+  private static int size(List<Slice> group) {
+    int size = 0;
+    for (Slice slice : group) {
+      size += slice.encode().length();
+    }
+    return size;
   }
 }
--- /dev/null
+++ b/src/main/java/gladeknot/commit/SliceSnapshot.java
@@ -0,0 +1,60 @@
+package gladeknot.commit;
+
+import gladeknot.tasks.Attempt;
+import gladeknot.tasks.Slice;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * A slice as a transaction contains it.
+ *
+ * @param slice the working copy, which may change while the transaction is in flight
+ * @param key the segment that the record is written to
+ * @param version the working copy's version
+ * @param done the tasks that are done
+ * @param live the attempts that the record contains
+ * @param closed the attempts whose ends the transaction commits
+ * @param claims the tasks that are claimed from other slices
+ * @param keys the keys that the slice's part of the transaction changes or relies on
+ */
+record SliceSnapshot(
+    Slice slice,
+    String key,
+    long version,
+    BitSet done,
+    List<Attempt> live,
+    List<Attempt> closed,
+    Map<Slice, BitSet> claims,
+    Set<String> keys) {
+
+  /** The slice as it is now. */
+  static SliceSnapshot of(Slice slice, String key, Set<String> keys) {
+    List<Attempt> live = new ArrayList<>();
+    List<Attempt> closed = new ArrayList<>();
+    for (Attempt attempt : slice.attemptsByTask().values()) {
+      (attempt.closed() ? closed : live).add(attempt);
+    }
+    return new SliceSnapshot(
+        slice,
+        key,
+        slice.version(),
+        (BitSet) slice.done().clone(),
+        live,
+        closed,
+        Map.copyOf(slice.pendingClaims()),
+        keys);
+  }
+
+  /** Whether it changes or relies on one of some keys. */
+  boolean reliesOnAny(List<String> changedKeys) {
+    for (String changed : changedKeys) {
+      if (keys.contains(changed)) {
+        return true;
+      }
+    }
+    return false;
+  }
+}
--- a/src/main/java/gladeknot/tasks/Attempt.java
+++ b/src/main/java/gladeknot/tasks/Attempt.java
@@ -96,6 +96,11 @@
     return committed;
   }
 
+  /** Whether another object stands for the same start. */
+  boolean isSameStart(Attempt other) {
+    return number == other.number && host.equals(other.host);
+  }
+
   /** The start has been committed. */
   public void markCommitted() {
     committed = true;
@@ -228,7 +233,7 @@
     return Math.max(0, graceSeconds - (nowMicros - killRequestedMicros) / MICROS_PER_SECOND);
   }
 
-  /** Whether its job is finished: whoever acts for the shard wants it to end. */
+  /** Whether its job is finished: the owner of its shard kills it. */
   public boolean jobFinished() {
     return jobFinished;
   }
@@ -238,8 +243,9 @@
     jobFinished = true;
   }
 
+  /** Its identity in log lines, for example {@code req-1/3#12 host=vm-000231}. */
   @Override
   public String toString() {
-    return name() + " attempt " + number + " on " + host;
+    return name() + "#" + number + " host=" + host;
   }
 }
--- a/src/main/java/gladeknot/tasks/AttemptCodec.java
+++ b/src/main/java/gladeknot/tasks/AttemptCodec.java
@@ -8,10 +8,10 @@
 import java.util.List;
 
 /**
- * Writes a slice's attempts as text, in one of two forms.
+ * The stored form of a slice's attempts: text, in one of two forms.
  *
- * <p>The plain form, which every version reads, is {@code task:number:host}, parted by commas. The
- * compact form is {@code ~PREFIX:WIDTH:DATA}: the hosts' common name up to its last digits, how
+ * <p>The plain form, which every version reads, is {@code task:number:host}, separated by commas.
+ * The compact form is {@code ~PREFIX:WIDTH:DATA}: the hosts' common name up to its last digits, how
  * many digits follow, and in Base64 for each attempt the differences of task, number and host from
  * the attempt before it, as numbers of variable length.
  */
@@ -28,16 +28,23 @@
 
   private AttemptCodec() {}
 
+  /** The plain form. */
   static String plain(List<StoredAttempt> attempts) {
     StringBuilder text = new StringBuilder();
-    for (StoredAttempt a : attempts) {
-      text.append(text.length() == 0 ? "" : ",").append(a.task()).append(':').append(a.number());
-      text.append(':').append(a.host());
+    for (StoredAttempt attempt : attempts) {
+      text.append(text.length() == 0 ? "" : ",")
+          .append(attempt.task())
+          .append(':')
+          .append(attempt.number());
+      text.append(':').append(attempt.host());
     }
     return text.toString();
   }
 
-  /** The compact form, or the plain one where that is shorter or the hosts' names are unlike. */
+  /**
+   * The compact form, or the plain one where that is shorter or the hosts' names differ in more
+   * than their numbers.
+   */
   static String compact(List<StoredAttempt> attempts) {
     String plain = plain(attempts);
     if (attempts.isEmpty()) {
@@ -46,7 +53,7 @@
     String first = attempts.get(0).host();
     int digits = digits(first);
     String prefix = first.substring(0, first.length() - digits);
-    boolean alike =
+    boolean sameNaming =
         digits > 0
             && prefix.indexOf(':') < 0
             && prefix.indexOf('|') < 0
@@ -57,7 +64,7 @@
                         host.length() == first.length()
                             && host.startsWith(prefix)
                             && digits(host) == digits);
-    if (!alike) {
+    if (!sameNaming) {
       return plain;
     }
     String compact = COMPACT + prefix + ":" + digits + ":" + data(attempts, prefix.length());
@@ -69,18 +76,19 @@
     long task = 0;
     long number = 0;
     long host = 0;
-    for (StoredAttempt a : attempts) {
-      long hostNumber = Long.parseLong(a.host().substring(prefixLength));
-      put(out, a.task() - task);
-      put(out, a.number() - number);
-      put(out, hostNumber - host);
-      task = a.task();
-      number = a.number();
+    for (StoredAttempt attempt : attempts) {
+      long hostNumber = Long.parseLong(attempt.host().substring(prefixLength));
+      writeVarint(out, attempt.task() - task);
+      writeVarint(out, attempt.number() - number);
+      writeVarint(out, hostNumber - host);
+      task = attempt.task();
+      number = attempt.number();
       host = hostNumber;
     }
     return Base64.getEncoder().withoutPadding().encodeToString(out.toByteArray());
   }
 
+  /** Reads either form. */
   static List<StoredAttempt> read(String text) {
     if (text.isEmpty()) {
       return List.of();
@@ -90,8 +98,8 @@
 
   private static List<StoredAttempt> readPlain(String text) {
     List<StoredAttempt> attempts = new ArrayList<>();
-    for (String part : text.split(",")) {
-      String[] fields = part.split(":", 3);
+    for (String attempt : text.split(",")) {
+      String[] fields = attempt.split(":", 3);
       attempts.add(
           new StoredAttempt(Integer.parseInt(fields[0]), Long.parseLong(fields[1]), fields[2]));
     }
@@ -107,9 +115,9 @@
     long number = 0;
     long host = 0;
     while (in.available() > 0) {
-      task += take(in);
-      number += take(in);
-      host += take(in);
+      task += readVarint(in);
+      number += readVarint(in);
+      host += readVarint(in);
       String name = fields[0] + Strings.padStart(Long.toString(host), digits, '0');
       attempts.add(new StoredAttempt((int) task, number, name));
     }
@@ -130,8 +138,8 @@
     return c >= '0' && c <= '9';
   }
 
-  /** Writes a number, small ones of either sign in few bytes. */
-  private static void put(ByteArrayOutputStream out, long value) {
+  /** Writes a number in zigzag encoding, small ones of either sign in few bytes. */
+  private static void writeVarint(ByteArrayOutputStream out, long value) {
     long rest = (value << 1) ^ (value >> 63);
     while ((rest & ~MASK) != 0) {
       out.write((int) (rest & MASK) | (MASK + 1));
@@ -140,7 +148,7 @@
     out.write((int) rest);
   }
 
-  private static long take(ByteArrayInputStream in) {
+  private static long readVarint(ByteArrayInputStream in) {
     long value = 0;
     int shift = 0;
     int next;
--- a/src/main/java/gladeknot/tasks/EvenSplit.java
+++ b/src/main/java/gladeknot/tasks/EvenSplit.java
@@ -7,20 +7,25 @@
 final class EvenSplit {
   private EvenSplit() {}
 
-  /** The tasks that the even split gives to a shard; gangs and services stay whole. */
+  /**
+   * The tasks that the even split gives to a shard; gangs and services are not split.
+   *
+   * @param home the job's home shard
+   * @param shards how many shards there are
+   */
   static BitSet share(JobSpec spec, int home, int shard, int shards) {
-    BitSet set = new BitSet();
+    BitSet share = new BitSet();
     if (spec.unsplit()) {
       if (shard == home) {
-        set.set(0, spec.tasks());
+        share.set(0, spec.tasks());
       }
-      return set;
+      return share;
     }
-    // Rotated by the job's home, so that small jobs don't all fall to the same shards.
-    int place = Math.floorMod(shard - home, shards);
-    int from = (int) ((long) spec.tasks() * place / shards);
-    int to = (int) ((long) spec.tasks() * (place + 1) / shards);
-    set.set(from, to);
-    return set;
+    // Rotated by the job's home, so that small jobs are not all given to the same shards.
+    int position = Math.floorMod(shard - home, shards);
+    int from = (int) ((long) spec.tasks() * position / shards);
+    int to = (int) ((long) spec.tasks() * (position + 1) / shards);
+    share.set(from, to);
+    return share;
   }
 }
--- a/src/main/java/gladeknot/tasks/RuntimeEstimates.java
+++ b/src/main/java/gladeknot/tasks/RuntimeEstimates.java
@@ -6,75 +6,109 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** How long tasks run: the owner's guess, corrected by what the class's finished tasks took. */
+/**
+ * How long tasks run: the submitter's estimate, corrected by the run times of finished tasks of the
+ * job, or else of its job class.
+ */
 public final class RuntimeEstimates {
-  private static final int PERCENT = 100;
-  private static final int MOST = 100_000;
-  private static final int MAX_JOBS = 500;
-
-  /** So many finished tasks weigh as much as the guess as it stands. */
-  private static final int TRUST = 10;
+  /** Services never end; sums of a few of these don't overflow. */
+  private static final long ENDLESS_MICROS = Long.MAX_VALUE / 4;
 
-  /** Up to so many finished tasks each one counts at once, after that a share of as many. */
-  private static final int FEW = 32;
+  private static final int MAX_JOBS = 500;
+  private static final int INITIAL_CAPACITY = 64;
+  private static final float LOAD_FACTOR = 0.75f;
 
-  /** Run times of finished tasks by job: their sum and number. */
-  private final Map<String, long[]> jobs =
-      new LinkedHashMap<>(64, 0.75f, true) {
+  /** Run times of finished tasks by job; jobs not asked for longest are evicted. */
+  private final Map<String, RunTotal> totalsByJob =
+      new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, long[]> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, RunTotal> eldest) {
           return size() > MAX_JOBS;
         }
       };
 
-  /** What a class's tasks took, in hundredths of their guesses. */
-  private static final class Ratio {
-    private final Histogram percents = new Histogram(MOST, 2);
+  private final Map<String, RunRatio> ratiosByClass = new HashMap<>();
+
+  /** The run times of a job's finished tasks. */
+  private static final class RunTotal {
+    private long sumMicros;
+    private long count;
+
+    private void add(long micros) {
+      sumMicros += micros;
+      count++;
+    }
+
+    private long meanMicros() {
+      return sumMicros / count;
+    }
+  }
+
+  /** The run times of a class's finished tasks in relation to their estimates. */
+  private static final class RunRatio {
+    private static final int PERCENT = 100;
+    private static final int MAX_PERCENT = 100_000;
+    private static final int SIGNIFICANT_DIGITS = 2;
+    private static final double MEDIAN = 50;
+
+    /** So many finished tasks weigh as much as the estimate itself. */
+    private static final int ESTIMATE_WEIGHT = 10;
+
+    /**
+     * Up to so many finished tasks the median is worked out after each one; from then on after each
+     * further one in so many.
+     */
+    private static final int EXACT_COUNT = 32;
+
+    private final Histogram percents = new Histogram(MAX_PERCENT, SIGNIFICANT_DIGITS);
     private double value = 1;
-    private long at;
-    private boolean fresh;
+    private long countAtUpdate;
+    private boolean upToDate;
+
+    private void add(long ranMicros, long estimatedMicros) {
+      long percent = ranMicros * PERCENT / estimatedMicros;
+      percents.recordValue(Math.max(1, Math.min(MAX_PERCENT, percent)));
+      upToDate = false;
+    }
 
-    /** It is asked for each running task again and again, and a percentile walks the histogram. */
+    /** Asked for each running task again and again, while a percentile walks the histogram. */
     private double value() {
-      long n = percents.getTotalCount();
-      if (!fresh && (n < FEW || n >= at + at / FEW)) {
-        value = (percents.getValueAtPercentile(50) / 100.0 * n + TRUST) / (n + TRUST);
-        at = n;
+      long count = percents.getTotalCount();
+      boolean few = count < EXACT_COUNT;
+      if (!upToDate && (few || count >= countAtUpdate + countAtUpdate / EXACT_COUNT)) {
+        double median = percents.getValueAtPercentile(MEDIAN) / (double) PERCENT;
+        value = (median * count + ESTIMATE_WEIGHT) / (count + ESTIMATE_WEIGHT);
+        countAtUpdate = count;
       }
-      fresh = true;
+      upToDate = true;
       return value;
     }
   }
 
-  private final Map<String, Ratio> ratios = new HashMap<>();
-
-  /** Notes how long a task ran. */
+  /** Records how long a task ran until it completed; ignored if the job has no estimate. */
   public void recordRun(JobSpec spec, long ranMicros) {
     if (spec.estimatedRunMicros() <= 0 || ranMicros <= 0) {
       return;
     }
-    long percent = Math.max(1, Math.min(MOST, ranMicros * PERCENT / spec.estimatedRunMicros()));
-    long[] sum = jobs.computeIfAbsent(spec.id(), id -> new long[2]);
-    sum[0] += ranMicros;
-    sum[1]++;
-    Ratio ratio = ratios.computeIfAbsent(spec.jobClass(), c -> new Ratio());
-    ratio.percents.recordValue(percent);
-    ratio.fresh = false;
+    totalsByJob.computeIfAbsent(spec.id(), id -> new RunTotal()).add(ranMicros);
+    ratiosByClass
+        .computeIfAbsent(spec.jobClass(), name -> new RunRatio())
+        .add(ranMicros, spec.estimatedRunMicros());
   }
 
-  /** What a task of the job will take, its image's fetch left out; services never end. */
+  /** How long a task of the job will run, in microseconds without the fetch of its image. */
   public long runMicros(JobSpec spec) {
     if (spec.shape() == JobSpec.Shape.SERVICE) {
-      return Long.MAX_VALUE / 4;
+      return ENDLESS_MICROS;
     }
-    long[] own = jobs.get(spec.id());
-    if (own != null) {
+    RunTotal total = totalsByJob.get(spec.id());
+    if (total != null) {
       // Tasks of one job are much alike: those that have ended tell of the rest.
-      return own[0] / own[1];
+      return total.meanMicros();
     }
-    Ratio ratio = ratios.get(spec.jobClass());
+    RunRatio ratio = ratiosByClass.get(spec.jobClass());
     return ratio == null
         ? spec.estimatedRunMicros()
         : (long) (spec.estimatedRunMicros() * ratio.value());
--- /dev/null
+++ b/src/main/java/gladeknot/tasks/SegmentIndex.java
@@ -0,0 +1,103 @@
+package gladeknot.tasks;
+
+import gladeknot.state.StateStore;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+
+/** Which segment holds which slice's record, and what has been loaded of each segment. */
+public final class SegmentIndex {
+  /** A slice's record and the key of the segment that holds it. */
+  record StoredRecord(String segmentKey, String text) {}
+
+  private final StateStore stateStore;
+
+  /** The keys of the segments that hold the records, by shard and job. */
+  private final List<Map<String, String>> segmentKeys = new ArrayList<>();
+
+  /** The values from which the slices were loaded, by segment. */
+  private final Map<String, PackedValue> loadedValues = new HashMap<>();
+
+  /** The present values as far as they were asked for, whose sizes are worked out once. */
+  private final Map<String, PackedValue> values = new HashMap<>();
+
+  SegmentIndex(int shards, StateStore stateStore) {
+    this.stateStore = stateStore;
+    for (int shard = 0; shard < shards; shard++) {
+      segmentKeys.add(new HashMap<>());
+    }
+  }
+
+  /** Takes in which records a segment holds, before any of them is read. */
+  void onSegmentChange(StateStore.Change change) {
+    String key = change.key();
+    Map<String, String> keysByJob = segmentKeys.get(SegmentLayout.shardOf(key));
+    PackedValue before = PackedValue.of(change.before());
+    PackedValue now = PackedValue.of(change.after());
+    for (String job : before.fieldNames()) {
+      if (!now.contains(job)) {
+        keysByJob.remove(job, key);
+      }
+    }
+    for (String job : now.fieldNames()) {
+      keysByJob.put(job, key);
+    }
+  }
+
+  /** Reports the slices whose records in a segment differ from those last loaded or written. */
+  public void detectChanges(String key, SliceChangeListener listener) {
+    PackedValue before = loadedValues.getOrDefault(key, PackedValue.EMPTY);
+    PackedValue now = value(key);
+    if (before.isSameAs(now)) {
+      return;
+    }
+    loadedValues.put(key, now);
+    int shard = SegmentLayout.shardOf(key);
+    for (String job : changedJobs(before, now)) {
+      listener.onRecordChanged(shard, job);
+    }
+  }
+
+  private static List<String> changedJobs(PackedValue before, PackedValue now) {
+    List<String> jobs = new ArrayList<>();
+    for (String job : now.fieldNames()) {
+      if (!now.get(job).equals(before.get(job))) {
+        jobs.add(job);
+      }
+    }
+    for (String job : before.fieldNames()) {
+      if (!now.contains(job)) {
+        jobs.add(job);
+      }
+    }
+    return jobs;
+  }
+
+  /** A segment has been written with these records, which the slices already contain. */
+  public void onSegmentWritten(String key, Map<String, Object> records) {
+    loadedValues.put(key, PackedValue.of(records));
+  }
+
+  /** The value of a segment, or of a key with machines, in the state store's copy. */
+  public PackedValue value(String key) {
+    StateStore.Entry entry = stateStore.get(key);
+    if (entry == null) {
+      return PackedValue.EMPTY;
+    }
+    PackedValue known = values.get(key);
+    if (known == null || !known.isViewOf(entry.data())) {
+      known = PackedValue.of(entry);
+      values.put(key, known);
+    }
+    return known;
+  }
+
+  /** The stored record of a slice. */
+  Optional<StoredRecord> find(int shard, String job) {
+    String key = segmentKeys.get(shard).get(job);
+    String text = key == null ? null : value(key).get(job);
+    return text == null ? Optional.empty() : Optional.of(new StoredRecord(key, text));
+  }
+}
--- a/src/main/java/gladeknot/tasks/Slice.java
+++ b/src/main/java/gladeknot/tasks/Slice.java
@@ -8,19 +8,16 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 
 /**
- * The part of a job's tasks that one shard has: which are done, which are handed out and to whom.
+ * The tasks of a job that one shard has: which are done, and which have been started where.
  *
- * <p>For shards of ours this is the working copy, ahead of its record; for others it is the record.
+ * <p>For owned shards this is the working copy, which may be ahead of the stored record; for remote
+ * shards it is what the record says.
  */
 public final class Slice {
-  /** A count that has to be worked out anew. */
-  private static final int UNKNOWN = -1;
-
   private final SegmentLayout layout;
-  private final boolean unsplit;
+  private final SegmentLocation location;
   private final int shard;
   private final String job;
   private final int shards;
@@ -29,28 +26,16 @@
   private long gpus;
   private long memory;
 
-  private final BitSet assigned = new BitSet();
-  private final BitSet done = new BitSet();
-  private final TreeMap<Integer, Attempt> attemptsByTask = new TreeMap<>();
+  private final TaskStates tasks = new TaskStates();
   private final Map<Slice, BitSet> pendingClaims = new LinkedHashMap<>();
   private long attemptCounter;
 
-  /** Its key by the layout, and the split that this was worked out for. */
-  private String targetKey;
-
-  private int targetSplit;
-
-  /** The key of the segment that holds its record; null if the state store has none. */
-  private String storedKey;
-
   private BitSet committedDone = new BitSet();
   private long version;
 
   /** Null until it is asked for. */
   private TaskRequirements requirements;
 
-  private int liveCount = UNKNOWN;
-  private int pending = UNKNOWN;
   private long dirtySinceMicros;
   private long backoffUntilMicros;
   private int consecutiveFailures;
@@ -58,7 +43,7 @@
 
   Slice(SegmentLayout layout, boolean unsplit, int shard, int shards, String job) {
     this.layout = layout;
-    this.unsplit = unsplit;
+    this.location = new SegmentLocation(layout, unsplit, shard, job);
     this.shard = shard;
     this.shards = shards;
     this.job = job;
@@ -89,24 +74,24 @@
   }
 
   public Collection<Attempt> attempts() {
-    return attemptsByTask.values();
+    return tasks.attemptsByTask().values();
   }
 
   /**
    * Its attempts that are not known to have been committed as ended, by task; not to be changed.
    */
   public Map<Integer, Attempt> attemptsByTask() {
-    return attemptsByTask;
+    return tasks.attemptsByTask();
   }
 
   /** The tasks that are this shard's to run; not to be changed. */
   public BitSet assigned() {
-    return assigned;
+    return tasks.assigned();
   }
 
   /** The tasks that have completed, committed or not; not to be changed. */
   public BitSet done() {
-    return done;
+    return tasks.done();
   }
 
   /**
@@ -118,8 +103,8 @@
   }
 
   /** Claims tasks of another shard's slice, which move here with the next commit. */
-  public void addClaim(Slice from, BitSet tasks) {
-    pendingClaims.put(from, tasks);
+  public void addClaim(Slice from, BitSet claimed) {
+    pendingClaims.put(from, claimed);
   }
 
   /** The tasks claimed from a slice have been committed. */
@@ -134,7 +119,7 @@
 
   /** The key of the segment that holds its record; null if the state store has none. */
   public String storedKey() {
-    return storedKey;
+    return location.storedKey();
   }
 
   /** Grows with each change, so that a commit can tell whether it contained the last one. */
@@ -162,7 +147,7 @@
 
   /** Its record was written to a segment, with these tasks done. */
   public void markStored(String segmentKey, BitSet storedDone) {
-    storedKey = segmentKey;
+    location.setStoredKey(segmentKey);
     committedDone = storedDone;
   }
 
@@ -217,29 +202,24 @@
     return committedDone;
   }
 
-  /** The part of its shard's record that it lies in, or will with its first record. */
+  /** The segment that holds its record, or that will hold its first one. */
   public String key() {
-    return isStored() ? storedKey : targetKey();
+    return isStored() ? location.storedKey() : targetKey();
   }
 
-  /** The part that it belongs into by the cluster's format. */
+  /** The segment that its record belongs in by the cluster's storage format. */
   public String targetKey() {
-    int split = layout.segmentSplit();
-    if (split != targetSplit) {
-      targetSplit = split;
-      targetKey = layout.key(shard, unsplit, job);
-    }
-    return targetKey;
+    return location.targetKey();
   }
 
-  /** Whether its record lies where it belongs by an earlier format. */
+  /** Whether its record is in a segment of an earlier storage format. */
   public boolean needsMigration() {
-    return isStored() && !storedKey.equals(targetKey());
+    return location.needsMigration();
   }
 
   /** Whether the state store has a record of it. */
   boolean isStored() {
-    return storedKey != null;
+    return location.isStored();
   }
 
   void setResources(JobSpec spec) {
@@ -249,49 +229,44 @@
     memory = spec.memory();
   }
 
-  /** Sets it to what the even split says, where no record is. */
+  /** Sets it to what the even split says, as no record is stored. */
   void resetToEvenShare(Job from) {
-    pending = UNKNOWN;
     setResources(from.spec());
-    assigned.clear();
-    assigned.or(EvenSplit.share(from.spec(), from.home(), shard, shards));
-    done.clear();
+    tasks.reset(EvenSplit.share(from.spec(), from.home(), shard, shards), new BitSet());
     committedDone = new BitSet();
   }
 
-  /** Sets it to its record; the attempts are returned, for the caller to take in. */
+  /** Sets it to its record; the caller adds the attempts that are returned. */
   List<Attempt> decode(String text, long nowMicros) {
     SliceRecord stored = SliceRecord.decode(text);
-    pending = UNKNOWN;
     team = stored.team();
     cpus = stored.cpus();
     gpus = stored.gpus();
     memory = stored.memory();
     attemptCounter = Math.max(attemptCounter, stored.attemptCounter());
-    assigned.clear();
-    assigned.or(stored.assigned());
-    done.clear();
-    done.or(stored.done());
-    committedDone = (BitSet) done.clone();
-    return stored.attempts().stream()
-        .map(attempt -> Attempt.recovered(this, attempt, nowMicros))
-        .toList();
+    tasks.reset(stored.assigned(), stored.done());
+    committedDone = (BitSet) stored.done().clone();
+    List<Attempt> attempts = new ArrayList<>(stored.attempts().size());
+    for (AttemptCodec.StoredAttempt attempt : stored.attempts()) {
+      attempts.add(Attempt.recovered(this, attempt, nowMicros));
+    }
+    return attempts;
   }
 
-  /** Its record as it is to be. */
+  /** Its record as it is to be stored. */
   public String encode() {
-    return encode(assigned);
+    return encode(tasks.assigned());
   }
 
   /** Its record with other tasks assigned. */
-  public String encode(BitSet tasks) {
+  public String encode(BitSet assigned) {
     List<AttemptCodec.StoredAttempt> live = new ArrayList<>();
-    for (Attempt a : attemptsByTask.values()) {
-      if (!a.closed()) {
-        live.add(new AttemptCodec.StoredAttempt(a.task(), a.number(), a.host()));
+    for (Attempt attempt : tasks.attemptsByTask().values()) {
+      if (!attempt.closed()) {
+        live.add(new AttemptCodec.StoredAttempt(attempt.task(), attempt.number(), attempt.host()));
       }
     }
-    return new SliceRecord(team, cpus, gpus, memory, attemptCounter, tasks, done, live)
+    return new SliceRecord(team, cpus, gpus, memory, attemptCounter, assigned, tasks.done(), live)
         .encode(layout.compact());
   }
 
@@ -300,103 +275,75 @@
     return attemptCounter;
   }
 
-  /** A number that no attempt of the job had, in any shard. */
+  /** Draws a number that no attempt of the job has had, in any shard. */
   public long nextAttemptNumber() {
     attemptCounter++;
     return attemptCounter * shards + shard + 1;
   }
 
-  /** Notes a task as done. A gang completes as one, whatever its other machines can still say. */
+  /** Marks a task as done. A gang is done as a whole, whatever its other machines report later. */
   public void markDone(int task, Job from) {
     if (from != null && from.spec().shape() == JobSpec.Shape.GANG) {
-      done.or(assigned);
+      tasks.markAllDone();
     } else {
-      done.set(task);
+      tasks.markDone(task);
     }
-    pending = UNKNOWN;
   }
 
+  /** Whether a task of it is neither done nor started. */
   public boolean isPending(int task) {
-    return assigned.get(task) && !done.get(task) && !attemptsByTask.containsKey(task);
+    return tasks.isPending(task);
   }
 
-  /** The first task from a number on that is neither done nor handed out; -1 if none. */
+  /** The first task from a number on that is neither done nor started; -1 if none. */
   public int nextPending(int from) {
-    for (int t = assigned.nextSetBit(from); t >= 0; t = assigned.nextSetBit(t + 1)) {
-      if (!done.get(t) && !attemptsByTask.containsKey(t)) {
-        return t;
-      }
-    }
-    return -1;
+    return tasks.nextPending(from);
   }
 
-  /** How many of its tasks are neither done nor handed out. */
+  /** How many of its tasks are neither done nor started. */
   public int pendingCount() {
-    // Asked for at every look at what waits, in all shards.
-    if (pending < 0) {
-      // Attempts are always of assigned tasks that are not done, but for those that just finished.
-      int open = 0;
-      for (Attempt a : attemptsByTask.values()) {
-        if (!done.get(a.task())) {
-          open++;
-        }
-      }
-      pending = assigned.cardinality() - done.cardinality() - open;
-    }
-    return pending;
+    return tasks.pendingCount();
   }
 
-  /** Takes tasks over from another slice. */
-  public void assign(BitSet tasks) {
-    assigned.or(tasks);
-    pending = UNKNOWN;
+  /** Adds tasks that are claimed from another slice. */
+  public void assign(BitSet claimed) {
+    tasks.assign(claimed);
   }
 
-  /** Lets go of tasks that were taken over and found no room. */
+  /** Returns a task that was claimed and could not be placed. */
   public void unassign(int task) {
-    assigned.clear(task);
-    pending = UNKNOWN;
+    tasks.unassign(task);
   }
 
   /** Whether starts have been decided that are not committed yet. */
   public boolean hasUncommittedStarts() {
-    return attemptsByTask.values().stream().anyMatch(a -> !a.closed() && !a.committed());
+    return tasks.hasUncommittedStarts();
   }
 
-  /** Tasks that may be on a machine. */
+  /** How many of its tasks may be on a machine. */
   public int liveCount() {
-    // Asked for at every look at what teams use, and changed seldom.
-    if (liveCount < 0) {
-      liveCount = 0;
-      for (Attempt a : attemptsByTask.values()) {
-        liveCount += a.closed() ? 0 : 1;
-      }
-    }
-    return liveCount;
+    return tasks.liveCount();
   }
 
   void addAttempt(Attempt attempt) {
-    invalidateCounts();
-    attemptsByTask.put(attempt.task(), attempt);
+    tasks.addAttempt(attempt);
   }
 
   void removeAttempt(Attempt attempt) {
-    invalidateCounts();
-    attemptsByTask.remove(attempt.task(), attempt);
+    tasks.removeAttempt(attempt);
   }
 
   void clearAttempts() {
-    attemptsByTask.clear();
-    invalidateCounts();
+    tasks.clearAttempts();
   }
 
-  /** Drops what was only decided, before its record, if there is one, is read anew. */
+  /** Drops what was only decided, before its record, if there is one, is loaded again. */
   void beginReload(String segmentKey) {
     clearAttempts();
     pendingClaims.clear();
     version++;
     dirtySinceMicros = 0;
-    storedKey = segmentKey;
+    location.setStoredKey(segmentKey);
   }
 
   /** It is dropped: a commit that contains it must not take it for unchanged. */
@@ -405,13 +352,13 @@
     version++;
   }
 
-  /** An attempt has ended. */
+  /** An attempt of it was closed. */
   public void invalidateCounts() {
-    liveCount = UNKNOWN;
-    pending = UNKNOWN;
+    tasks.invalidateCounts();
   }
 
+  /** Whether all its tasks are done. */
   public boolean isComplete() {
-    return done.cardinality() == assigned.cardinality();
+    return tasks.isComplete();
   }
 }
--- a/src/main/java/gladeknot/tasks/SliceRecord.java
+++ b/src/main/java/gladeknot/tasks/SliceRecord.java
@@ -9,7 +9,7 @@
  * AttemptCodec} writes them.
  *
  * @param attemptCounter how many attempt numbers have been drawn for the slice
- * @param assigned the tasks that are the shard's to run
+ * @param assigned the tasks that the shard has to run
  * @param done those of them that are done
  * @param attempts the tasks that may be on machines
  */
--- a/src/main/java/gladeknot/tasks/TaskRanges.java
+++ b/src/main/java/gladeknot/tasks/TaskRanges.java
@@ -6,33 +6,35 @@
 final class TaskRanges {
   private TaskRanges() {}
 
-  static String text(BitSet set) {
-    StringBuilder out = new StringBuilder();
-    for (int from = set.nextSetBit(0); from >= 0; ) {
-      int to = set.nextClearBit(from) - 1;
-      if (out.length() > 0) {
-        out.append(',');
+  /** The text of a set. */
+  static String text(BitSet tasks) {
+    StringBuilder text = new StringBuilder();
+    for (int from = tasks.nextSetBit(0); from >= 0; ) {
+      int to = tasks.nextClearBit(from) - 1;
+      if (text.length() > 0) {
+        text.append(',');
       }
-      out.append(from);
+      text.append(from);
       if (to > from) {
-        out.append('-').append(to);
+        text.append('-').append(to);
       }
-      from = set.nextSetBit(to + 1);
+      from = tasks.nextSetBit(to + 1);
     }
-    return out.toString();
+    return text.toString();
   }
 
+  /** The set of a text; empty if the text is null or empty. */
   static BitSet parse(String text) {
-    BitSet set = new BitSet();
+    BitSet tasks = new BitSet();
     if (text == null || text.isEmpty()) {
-      return set;
+      return tasks;
     }
-    for (String part : text.split(",")) {
-      int dash = part.indexOf('-');
-      int from = Integer.parseInt(dash < 0 ? part : part.substring(0, dash));
-      int to = dash < 0 ? from : Integer.parseInt(part.substring(dash + 1));
-      set.set(from, to + 1);
+    for (String range : text.split(",")) {
+      int dash = range.indexOf('-');
+      int from = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
+      int to = dash < 0 ? from : Integer.parseInt(range.substring(dash + 1));
+      tasks.set(from, to + 1);
     }
-    return set;
+    return tasks;
   }
 }
--- /dev/null
+++ b/src/main/java/gladeknot/tasks/TaskStates.java
@@ -0,0 +1,135 @@
+package gladeknot.tasks;
+
+import java.util.BitSet;
+import java.util.TreeMap;
+
+/**
+ * The states of a slice's tasks: which are assigned to it, which of them are done, and which have
+ * attempts. What is asked for in each scheduling cycle is counted once after each change.
+ */
+final class TaskStates {
+  /** A count that has to be worked out again. */
+  private static final int UNKNOWN = -1;
+
+  private final BitSet assigned = new BitSet();
+  private final BitSet done = new BitSet();
+  private final TreeMap<Integer, Attempt> attemptsByTask = new TreeMap<>();
+  private int liveCount = UNKNOWN;
+  private int pendingCount = UNKNOWN;
+
+  BitSet assigned() {
+    return assigned;
+  }
+
+  BitSet done() {
+    return done;
+  }
+
+  TreeMap<Integer, Attempt> attemptsByTask() {
+    return attemptsByTask;
+  }
+
+  /** Replaces the assigned and the done tasks; the attempts stay. */
+  void reset(BitSet newAssigned, BitSet newDone) {
+    pendingCount = UNKNOWN;
+    assigned.clear();
+    assigned.or(newAssigned);
+    done.clear();
+    done.or(newDone);
+  }
+
+  void assign(BitSet tasks) {
+    assigned.or(tasks);
+    pendingCount = UNKNOWN;
+  }
+
+  void unassign(int task) {
+    assigned.clear(task);
+    pendingCount = UNKNOWN;
+  }
+
+  void markDone(int task) {
+    done.set(task);
+    pendingCount = UNKNOWN;
+  }
+
+  void markAllDone() {
+    done.or(assigned);
+    pendingCount = UNKNOWN;
+  }
+
+  boolean isComplete() {
+    return done.cardinality() == assigned.cardinality();
+  }
+
+  /** Whether a task is neither done nor started. */
+  boolean isPending(int task) {
+    return assigned.get(task) && !done.get(task) && !attemptsByTask.containsKey(task);
+  }
+
+  /** The first pending task from a number on; -1 if there is none. */
+  int nextPending(int from) {
+    for (int task = assigned.nextSetBit(from); task >= 0; task = assigned.nextSetBit(task + 1)) {
+      if (!done.get(task) && !attemptsByTask.containsKey(task)) {
+        return task;
+      }
+    }
+    return -1;
+  }
+
+  /** How many tasks are neither done nor started. */
+  int pendingCount() {
+    if (pendingCount < 0) {
+      // Attempts are always of assigned tasks that are not done, but for those that just finished.
+      int started = 0;
+      for (Attempt attempt : attemptsByTask.values()) {
+        if (!done.get(attempt.task())) {
+          started++;
+        }
+      }
+      pendingCount = assigned.cardinality() - done.cardinality() - started;
+    }
+    return pendingCount;
+  }
+
+  /** How many tasks may be on a machine. */
+  int liveCount() {
+    if (liveCount < 0) {
+      liveCount = 0;
+      for (Attempt attempt : attemptsByTask.values()) {
+        liveCount += attempt.closed() ? 0 : 1;
+      }
+    }
+    return liveCount;
+  }
+
+  boolean hasUncommittedStarts() {
+    for (Attempt attempt : attemptsByTask.values()) {
+      if (!attempt.closed() && !attempt.committed()) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  void addAttempt(Attempt attempt) {
+    invalidateCounts();
+    attemptsByTask.put(attempt.task(), attempt);
+  }
+
+  void removeAttempt(Attempt attempt) {
+    invalidateCounts();
+    attemptsByTask.remove(attempt.task(), attempt);
+  }
+
+  void clearAttempts() {
+    attemptsByTask.clear();
+    invalidateCounts();
+  }
+
+  /** An attempt was added, removed or closed. */
+  void invalidateCounts() {
+    liveCount = UNKNOWN;
+    pendingCount = UNKNOWN;
+  }
+}
--- a/src/test/java/gladeknot/tasks/SliceTest.java
+++ b/src/test/java/gladeknot/tasks/SliceTest.java
@@ -44,7 +44,7 @@
     assertEquals(s.assigned(), read.assigned());
     assertEquals(s.done(), read.done());
     assertEquals(
-        "req-1/11 attempt " + number + " on vm-000231", read.attemptsByTask().get(11).toString());
+        "req-1/11#" + number + " host=vm-000231", read.attemptsByTask().get(11).toString());
     assertTrue(
         read.attemptsByTask().get(11).committed() && read.attemptsByTask().get(11).runSent());
     // Numbers never repeat, whoever goes on.
@@ -75,7 +75,7 @@
       for (boolean whole : List.of(true, false)) {
         String piece = split.key(2, whole, job);
         pieces.computeIfAbsent(LAYOUT.key(2, whole, job), k -> new TreeSet<>()).add(piece);
-        assertEquals(whole, SegmentLayout.isWhole(piece));
+        assertEquals(whole, SegmentLayout.holdsUnsplitJobs(piece));
       }
     }
     assertEquals(
