--- a/src/main/java/gladeknot/commit/KeyMutation.java
+++ b/src/main/java/gladeknot/commit/KeyMutation.java
@@ -1,6 +1,6 @@
 package gladeknot.commit;
 
-import gladeknot.state.StateStore;
+import gladeknot.state.Mutation;
 import java.util.List;
 import java.util.Map;
 
@@ -13,10 +13,7 @@
  * @param callback receives the outcome
  */
 public record KeyMutation(
-    int shard,
-    StateStore.Mutation mutation,
-    Map<String, Long> conditions,
-    MutationCallback callback) {
+    int shard, Mutation mutation, Map<String, Long> conditions, MutationCallback callback) {
 
   /** Whether it was decided on the revision of one of some keys. */
   boolean reliesOnAny(List<String> keys) {
--- a/src/main/java/gladeknot/commit/OutcomeHandler.java
+++ b/src/main/java/gladeknot/commit/OutcomeHandler.java
@@ -1,9 +1,9 @@
 package gladeknot.commit;
 
 import gladeknot.membership.Membership;
+import gladeknot.state.CommitOutcome;
+import gladeknot.state.CommitStatus;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.CommitOutcome;
-import gladeknot.state.StateStore.CommitStatus;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.Slice;
 import gladeknot.tasks.SliceRegistry;
--- a/src/main/java/gladeknot/commit/TransactionBatch.java
+++ b/src/main/java/gladeknot/commit/TransactionBatch.java
@@ -1,7 +1,7 @@
 package gladeknot.commit;
 
+import gladeknot.state.Mutation;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Mutation;
 import gladeknot.tasks.PackedValue;
 import gladeknot.tasks.SegmentIndex;
 import gladeknot.tasks.SegmentLayout;
--- a/src/main/java/gladeknot/tasks/PackedValue.java
+++ b/src/main/java/gladeknot/tasks/PackedValue.java
@@ -1,6 +1,6 @@
 package gladeknot.tasks;
 
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
@@ -32,7 +32,7 @@
   }
 
   /** A view of an entry of the state store; {@link #EMPTY} if the entry is null. */
-  public static PackedValue of(StateStore.Entry entry) {
+  public static PackedValue of(Entry entry) {
     return entry == null ? EMPTY : new PackedValue(entry.data());
   }
 
--- a/src/main/java/gladeknot/tasks/SegmentIndex.java
+++ b/src/main/java/gladeknot/tasks/SegmentIndex.java
@@ -1,5 +1,7 @@
 package gladeknot.tasks;
 
+import gladeknot.state.Change;
+import gladeknot.state.Entry;
 import gladeknot.state.StateStore;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -31,7 +33,7 @@
   }
 
   /** Takes in which records a segment holds, before any of them is read. */
-  void onSegmentChange(StateStore.Change change) {
+  void onSegmentChange(Change change) {
     String key = change.key();
     Map<String, String> keysByJob = segmentKeys.get(SegmentLayout.shardOf(key));
     PackedValue before = PackedValue.of(change.before());
@@ -82,7 +84,7 @@
 
   /** The value of a segment, or of a key with machines, in the state store's copy. */
   public PackedValue value(String key) {
-    StateStore.Entry entry = stateStore.get(key);
+    Entry entry = stateStore.get(key);
     if (entry == null) {
       return PackedValue.EMPTY;
     }
--- a/src/main/java/gladeknot/tasks/SliceRegistry.java
+++ b/src/main/java/gladeknot/tasks/SliceRegistry.java
@@ -2,6 +2,7 @@
 
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobSpec;
+import gladeknot.state.Change;
 import gladeknot.state.StateStore;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -104,7 +105,7 @@
   }
 
   /** Takes in which records a segment holds, before any of them is read. */
-  public void onSegmentChange(StateStore.Change change) {
+  public void onSegmentChange(Change change) {
     segments.onSegmentChange(change);
   }
 
--- a/src/main/java/gladeknot/workers/WorkerRegistry.java
+++ b/src/main/java/gladeknot/workers/WorkerRegistry.java
@@ -1,6 +1,6 @@
 package gladeknot.workers;
 
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.HostDirectory;
 import java.util.Collection;
@@ -35,14 +35,14 @@
   }
 
   /** Takes in a change of a key of machines. */
-  public void onChange(String key, StateStore.Entry before, StateStore.Entry now) {
+  public void onChange(String key, Entry before, Entry now) {
     Map<String, Object> old = before == null ? Map.of() : before.data();
     Map<String, Object> data = now == null ? Map.of() : now.data();
     data.forEach(
         (field, record) -> {
           if (!record.equals(old.get(field))) {
-            String host = Worker.host(key, field);
-            if (record.equals(Worker.RELEASED)) {
+            String host = WorkerRecordCodec.host(key, field);
+            if (record.equals(WorkerRecordCodec.RELEASED)) {
               released.add(host);
               onDeregistered(host);
             } else {
@@ -52,7 +52,7 @@
         });
     for (String field : old.keySet()) {
       if (!data.containsKey(field)) {
-        onDeregistered(Worker.host(key, field));
+        onDeregistered(WorkerRecordCodec.host(key, field));
       }
     }
   }
