--- a/src/main/java/gladeknot/lifecycle/SpotReclaims.java
+++ b/src/main/java/gladeknot/lifecycle/SpotReclaims.java
@@ -6,6 +6,7 @@
 import gladeknot.membership.Membership;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.RuntimeEstimates;
+import gladeknot.tasks.TerminationGrace;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
 import java.util.List;
@@ -78,7 +79,7 @@
 
   /** A gang is stopped as a whole: its progress is saved only if all its tasks are told. */
   private static void stop(Attempt attempt, JobSpec spec, Stopper stopper) {
-    double graceS = GracePeriod.seconds(spec);
+    double graceS = TerminationGrace.seconds(spec);
     if (spec.shape() != JobSpec.Shape.GANG) {
       stopper.stop(attempt, graceS);
       return;
--- a/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
@@ -19,19 +19,19 @@
 
   private final JobRegistry jobs;
   private final WorkerRegistry workers;
-  private final Scheduler.MachineTypes types;
+  private final MachineTypes types;
   private long cpus;
   private long gpus;
   private long nextCountMicros;
 
-  DeadlineCapacity(JobRegistry jobs, WorkerRegistry workers, Scheduler.MachineTypes types) {
+  DeadlineCapacity(JobRegistry jobs, WorkerRegistry workers, MachineTypes types) {
     this.jobs = jobs;
     this.workers = workers;
     this.types = types;
   }
 
   /** How many tasks of a job could be at work at once. */
-  int places(JobSpec spec, long nowMicros, long wallMicros) {
+  int taskSlots(JobSpec spec, long nowMicros, long wallMicros) {
     if (nowMicros >= nextCountMicros) {
       nextCountMicros = nowMicros + COUNT_MICROS;
       count(wallMicros);
--- a/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
@@ -37,7 +37,7 @@
     Map<String, Object> job = SimulatedCluster.job("req-1", "array", 8);
     job.put("cores", cpus);
     job.put("accelerators", gpus);
-    assertEquals(places, capacity.places(JobSpecCodec.decode(job), NOW, NOW));
+    assertEquals(places, capacity.taskSlots(JobSpecCodec.decode(job), NOW, NOW));
   }
 
   private static void enter(WorkerRegistry workers, int number, String type) {
