--- a/src/main/java/gladeknot/tasks/Attempt.java
+++ b/src/main/java/gladeknot/tasks/Attempt.java
@@ -65,10 +65,12 @@
     return new TaskTracer.AttemptId(slice.job(), name, number);
   }
 
+  /** The slice that its task belongs to. */
   public Slice slice() {
     return slice;
   }
 
+  /** The task's number in its job. */
   public int task() {
     return task;
   }
@@ -78,6 +80,7 @@
     return number;
   }
 
+  /** The machine's name. */
   public String host() {
     return host;
   }
@@ -87,6 +90,7 @@
     return name;
   }
 
+  /** When the start was decided, or read from a record. */
   public long decidedMicros() {
     return decidedMicros;
   }
@@ -191,6 +195,7 @@
     unacknowledgedRuns++;
   }
 
+  /** The phase by the newest heartbeat of its machine. */
   public ObservedPhase observedPhase() {
     return observedPhase;
   }
@@ -214,6 +219,7 @@
     return killRequestedMicros;
   }
 
+  /** Whether a kill was requested. */
   public boolean killRequested() {
     return killRequestedMicros != 0;
   }
--- a/src/main/java/gladeknot/tasks/PackedValue.java
+++ b/src/main/java/gladeknot/tasks/PackedValue.java
@@ -41,10 +41,12 @@
     return (String) fields.get(field);
   }
 
+  /** Whether there is such a field. */
   public boolean contains(String field) {
     return fields.containsKey(field);
   }
 
+  /** The names of the fields; not to be changed. */
   public Set<String> fieldNames() {
     return fields.keySet();
   }
--- a/src/main/java/gladeknot/tasks/Slice.java
+++ b/src/main/java/gladeknot/tasks/Slice.java
@@ -49,30 +49,37 @@
     this.job = job;
   }
 
+  /** The shard that has the tasks to run. */
   public int shard() {
     return shard;
   }
 
+  /** The job's id. */
   public String job() {
     return job;
   }
 
+  /** The job's team, whose quota its attempts use. */
   public String team() {
     return team;
   }
 
+  /** The CPUs of one task, in thousandths. */
   public long cpus() {
     return cpus;
   }
 
+  /** The GPUs of one task, in thousandths. */
   public long gpus() {
     return gpus;
   }
 
+  /** The memory of one task, in thousandths of a GB. */
   public long memory() {
     return memory;
   }
 
+  /** Its attempts that are not known to have been committed as ended; not to be changed. */
   public Collection<Attempt> attempts() {
     return tasks.attemptsByTask().values();
   }
--- a/src/main/java/gladeknot/tasks/SliceRegistry.java
+++ b/src/main/java/gladeknot/tasks/SliceRegistry.java
@@ -51,6 +51,7 @@
     return segments;
   }
 
+  /** The slices of a shard; not to be changed. */
   public Collection<Slice> inShard(int shard) {
     return byShard.get(shard).values();
   }
--- a/src/test/java/gladeknot/tasks/SliceTest.java
+++ b/src/test/java/gladeknot/tasks/SliceTest.java
@@ -16,60 +16,60 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** What a slice's record keeps, and how little room it takes. */
+/** What a slice's record keeps, and how few bytes it takes. */
 class SliceTest {
   private static final SegmentLayout LAYOUT = new SegmentLayout(() -> 1);
 
   private static Slice slice(int tasks) throws MalformedJobException {
     JobSpec spec = JobSpecCodec.decode(SimulatedCluster.job("req-1", "array", tasks));
-    Slice s = new Slice(LAYOUT, false, 1, 3, "req-1");
-    s.setResources(spec);
-    s.assigned().set(0, tasks);
-    return s;
+    Slice slice = new Slice(LAYOUT, false, 1, 3, "req-1");
+    slice.setResources(spec);
+    slice.assigned().set(0, tasks);
+    return slice;
   }
 
   private static Slice again(String record) {
-    Slice s = new Slice(LAYOUT, false, 1, 3, "req-1");
-    for (Attempt a : s.decode(record, 0)) {
-      s.attemptsByTask().put(a.task(), a);
+    Slice slice = new Slice(LAYOUT, false, 1, 3, "req-1");
+    for (Attempt attempt : slice.decode(record, 0)) {
+      slice.addAttempt(attempt);
     }
-    return s;
+    return slice;
   }
 
   @Test
   void comesBackAsItWas() throws MalformedJobException {
-    Slice s = slice(20);
-    s.done().set(3, 9);
-    long number = s.nextAttemptNumber();
-    s.attemptsByTask().put(11, new Attempt(s, 11, number, "vm-000231", 0));
-    Slice read = again(s.encode());
-    assertEquals(s.assigned(), read.assigned());
-    assertEquals(s.done(), read.done());
+    Slice slice = slice(20);
+    slice.done().set(3, 9);
+    long number = slice.nextAttemptNumber();
+    slice.addAttempt(new Attempt(slice, 11, number, "vm-000231", 0));
+    Slice read = again(slice.encode());
+    assertEquals(slice.assigned(), read.assigned());
+    assertEquals(slice.done(), read.done());
     assertEquals(
         "req-1/11#" + number + " host=vm-000231", read.attemptsByTask().get(11).toString());
     assertTrue(
         read.attemptsByTask().get(11).committed() && read.attemptsByTask().get(11).runSent());
     // Numbers never repeat, whoever goes on.
     assertTrue(read.nextAttemptNumber() > number);
-    assertEquals(s.encode(), read.encode().replace("|" + read.attemptCounter() + "|", "|1|"));
+    assertEquals(slice.encode(), read.encode().replace("|" + read.attemptCounter() + "|", "|1|"));
   }
 
-  /** Done slices outnumber the others while their jobs go on, and filled a part once. */
+  /** Done slices outnumber the others while their jobs go on, and filled a segment once. */
   @Test
   void aDoneSliceTakesLittleHoweverScatteredItsTasks() throws MalformedJobException {
-    Slice s = slice(250);
+    Slice slice = slice(250);
     for (int t = 0; t < 250; t += 2) {
-      s.assigned().clear(t);
+      slice.assigned().clear(t);
     }
-    int open = s.encode().length();
-    s.done().or(s.assigned());
-    assertTrue(s.encode().length() <= open + 1);
-    assertEquals(s.assigned(), again(s.encode()).done());
+    int open = slice.encode().length();
+    slice.done().or(slice.assigned());
+    assertTrue(slice.encode().length() <= open + 1);
+    assertEquals(slice.assigned(), again(slice.encode()).done());
   }
 
-  /** Slices of one old part go to as many new ones as the mark says, and to no others. */
+  /** Slices of one old segment move to as many new ones as the format says, and to no others. */
   @Test
-  void aSplitPartsPiecesAreItsOwn() {
+  void aSplitSegmentsPiecesAreItsOwn() {
     SegmentLayout split = new SegmentLayout(() -> 4);
     Map<String, Set<String>> pieces = new TreeMap<>();
     for (int i = 0; i < 1000; i++) {
@@ -95,21 +95,21 @@
   @Test
   void aSlicesKeyIsWorkedOutOnceALayout() {
     int[] split = {1};
-    Slice s = new Slice(new SegmentLayout(() -> split[0]), false, 1, 3, "req-1");
-    String before = s.targetKey();
-    assertSame(before, s.targetKey());
+    Slice slice = new Slice(new SegmentLayout(() -> split[0]), false, 1, 3, "req-1");
+    String before = slice.targetKey();
+    assertSame(before, slice.targetKey());
     split[0] = 4;
-    assertTrue(s.targetKey().startsWith("g/sl/1/a16-"));
-    assertSame(s.targetKey(), s.targetKey());
+    assertTrue(slice.targetKey().startsWith("g/sl/1/a16-"));
+    assertSame(slice.targetKey(), slice.targetKey());
   }
 
   @Test
   void aClaimLeavesTheRest() throws MalformedJobException {
-    Slice s = slice(10);
-    s.done().set(0);
+    Slice slice = slice(10);
+    slice.done().set(0);
     BitSet left = new BitSet();
     left.set(0, 4);
-    Slice read = again(s.encode(left));
+    Slice read = again(slice.encode(left));
     assertEquals(left, read.assigned());
     assertEquals(
         List.of(1, 2, 3), read.assigned().stream().filter(read::isPending).boxed().toList());
