--- a/src/main/java/gladeknot/lifecycle/KillDispatcher.java
+++ b/src/main/java/gladeknot/lifecycle/KillDispatcher.java
@@ -1,12 +1,12 @@
 package gladeknot.lifecycle;
 
 import gladeknot.connectivity.ControlAction;
-import gladeknot.json.Json;
 import gladeknot.membership.Membership;
 import gladeknot.outbox.Outbox;
 import gladeknot.tasks.Attempt;
 import gladeknot.workers.CommandCodec;
 import gladeknot.workers.Heartbeat;
+import gladeknot.workers.HeartbeatCodec;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerCommand;
 import gladeknot.workers.WorkerRegistry;
@@ -163,7 +163,7 @@
     if (reply.status() != 200 && reply.status() != 409) {
       return;
     }
-    long tenure = Json.num(reply.object(), "tenure", 0);
+    long tenure = HeartbeatCodec.incarnation(reply.object());
     if (tenure > e.tenure) {
       e.tenure = tenure;
       e.nextMicros = nowMicros;
--- a/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
+++ b/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
@@ -16,6 +16,7 @@
 import gladeknot.tasks.SliceRegistry;
 import gladeknot.tracing.TaskTracer;
 import gladeknot.workers.Heartbeat;
+import gladeknot.workers.TaskPhase;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerCommand;
 import gladeknot.workers.WorkerRegistry;
@@ -242,9 +243,9 @@
         }
       } else {
         if (t.ended()) {
-          ended(worker, a, t.cause());
+          ended(worker, a, t);
         } else {
-          seen(worker, a, t.phase());
+          seen(worker, a, t);
           if (!a.killRequested() && jobs.active(a.slice().job()) == null) {
             // Its job was withdrawn while nobody owned the shard, or before we did.
             a.markJobFinished();
@@ -299,14 +300,14 @@
     }
   }
 
-  private void seen(Worker worker, Attempt a, String phase) {
+  private void seen(Worker worker, Attempt a, Heartbeat.TaskStatus status) {
     Attempt.ObservedPhase before = a.observedPhase();
     if (a.observedPhase() == Attempt.ObservedPhase.NOT_OBSERVED && a.runSentIncarnation() != 0) {
       worker.markReachable();
     }
-    a.observe(observedPhase(phase), nowMicros);
+    a.observe(observedPhase(status.phase()), nowMicros);
     if (a.observedPhase() != before) {
-      tracer.phaseObserved(a.traceId(), phase);
+      tracer.phaseObserved(a.traceId(), status.phaseText());
     }
     Job job = jobs.active(a.slice().job());
     if (a.observedPhase() != Attempt.ObservedPhase.FETCHING && job != null) {
@@ -314,21 +315,22 @@
     }
   }
 
-  private static Attempt.ObservedPhase observedPhase(String phase) {
+  private static Attempt.ObservedPhase observedPhase(TaskPhase phase) {
     return switch (phase) {
-      case "fetching" -> Attempt.ObservedPhase.FETCHING;
-      case "waiting" -> Attempt.ObservedPhase.WAITING;
-      case "saving" -> Attempt.ObservedPhase.SAVING;
+      case FETCHING -> Attempt.ObservedPhase.FETCHING;
+      case WAITING -> Attempt.ObservedPhase.WAITING;
+      case SAVING -> Attempt.ObservedPhase.SAVING;
       default -> Attempt.ObservedPhase.RUNNING;
     };
   }
 
-  private void ended(Worker worker, Attempt a, String cause) {
+  private void ended(Worker worker, Attempt a, Heartbeat.TaskStatus status) {
+    String cause = status.causeText();
     LOG.info("ended {}: {}", a, cause);
     tracer.ended(a.traceId(), cause);
     Slice s = a.slice();
-    switch (cause) {
-      case "done" -> {
+    switch (status.cause()) {
+      case SUCCEEDED -> {
         a.markSucceeded();
         Job job = jobs.active(s.job());
         s.markDone(a.task(), job);
@@ -338,9 +340,10 @@
         s.resetFailures();
         worker.resetFailures();
       }
-      case "error" -> failed(worker, s);
-      case "no_room", "busy" -> worker.quarantineUntil(nowMicros + 2_000_000);
-      case "no_such" -> s.backOffUntil(nowMicros + 3_000_000);
+      case FAILED -> failed(worker, s);
+      case INSUFFICIENT_RESOURCES, TASK_ALREADY_PRESENT ->
+          worker.quarantineUntil(nowMicros + 2_000_000);
+      case UNKNOWN_TASK -> s.backOffUntil(nowMicros + 3_000_000);
       default -> {}
     }
     close(a);
--- a/src/main/java/gladeknot/workers/Heartbeat.java
+++ b/src/main/java/gladeknot/workers/Heartbeat.java
@@ -1,11 +1,22 @@
 package gladeknot.workers;
 
-import gladeknot.json.Json;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
+import java.util.OptionalDouble;
 
-/** What a worker says of itself; {@code recallS} is below 0 where the machine stays. */
+/**
+ * A worker's heartbeat; {@link HeartbeatCodec} reads it.
+ *
+ * @param host the machine's name
+ * @param endpoint where the worker takes direct commands, as host:port
+ * @param type the name of the machine's type
+ * @param zone the zone that the machine is in
+ * @param spot whether it is a spot instance
+ * @param incarnation starts at 1 and increases each time the worker's lease expires
+ * @param sequence increases with every message of the worker's
+ * @param fencingToken the highest token that the worker has seen; 0 at first
+ * @param reclaimInSeconds when the cloud takes the machine back; empty if it has given no notice
+ * @param tasks the tasks on the machine, with exited ones until they are purged
+ */
 public record Heartbeat(
     String host,
     String endpoint,
@@ -15,81 +26,40 @@
     long incarnation,
     long sequence,
     long fencingToken,
-    double reclaimInSeconds,
+    OptionalDouble reclaimInSeconds,
     List<TaskStatus> tasks) {
 
-  /** A task on the machine. */
-  public record TaskStatus(String name, long attempt, String phase, String cause, boolean stored) {
-    /** The job that it is of. */
+  /**
+   * A task on the machine.
+   *
+   * @param name the task's name: job, slash, number
+   * @param attempt the attempt number
+   * @param phase what it is doing
+   * @param phaseText the phase as the worker spelled it, for traces
+   * @param cause why it has ended; {@link EndCause#OTHER} while it has not
+   * @param causeText the cause as the worker spelled it, for logs and traces; empty if it gave none
+   */
+  public record TaskStatus(
+      String name,
+      long attempt,
+      TaskPhase phase,
+      String phaseText,
+      EndCause cause,
+      String causeText) {
+    /** The job that it belongs to. */
     public String job() {
       return name.substring(0, name.lastIndexOf('/'));
     }
 
+    /** Whether it has exited. */
     public boolean ended() {
-      return phase.equals("ended");
+      return phase == TaskPhase.ENDED;
     }
   }
 
-  /** A report that breaks the form. */
-  public static final class MalformedHeartbeatException extends Exception {
-    private static final long serialVersionUID = 1L;
-
-    MalformedHeartbeatException(String message) {
-      super(message);
-    }
-  }
-
-  /** Whether it is newer than the one of that session and tick. */
-  public boolean isNewerThan(long otherTenure, long otherTick) {
-    return incarnation > otherTenure || (incarnation == otherTenure && sequence > otherTick);
-  }
-
-  /** Reads a report. */
-  public static Heartbeat parse(Map<String, Object> m) throws MalformedHeartbeatException {
-    List<TaskStatus> tasks = new ArrayList<>();
-    if (m.get("strands") != null && !(m.get("strands") instanceof List)) {
-      throw new MalformedHeartbeatException("strands: must be a list");
-    }
-    for (Map<String, Object> t : Json.objects(m, "strands")) {
-      String name = text(t, "strand");
-      int slash = name.lastIndexOf('/');
-      if (slash < 1 || !name.substring(slash + 1).matches("[0-9]{1,6}")) {
-        throw new MalformedHeartbeatException("strand: must be job/number");
-      }
-      tasks.add(
-          new TaskStatus(
-              name,
-              whole(t, "try"),
-              text(t, "phase"),
-              Json.text(t, "cause") == null ? "" : Json.text(t, "cause"),
-              Json.flag(t, "stored")));
-    }
-    return new Heartbeat(
-        text(m, "host"),
-        text(m, "endpoint"),
-        text(m, "hosttype"),
-        text(m, "glade"),
-        Json.flag(m, "loaners"),
-        whole(m, "tenure"),
-        whole(m, "tick"),
-        whole(m, "fence"),
-        Json.real(m, "recallS", -1),
-        tasks);
-  }
-
-  private static String text(Map<String, Object> m, String name)
-      throws MalformedHeartbeatException {
-    String value = Json.text(m, name);
-    if (value == null || value.isEmpty()) {
-      throw new MalformedHeartbeatException(name + ": missing, or not a text");
-    }
-    return value;
-  }
-
-  private static long whole(Map<String, Object> m, String name) throws MalformedHeartbeatException {
-    if (!(m.get(name) instanceof Number n) || n instanceof Double || n.longValue() < 0) {
-      throw new MalformedHeartbeatException(name + ": must be a whole number");
-    }
-    return n.longValue();
+  /** Whether it was sent after another message of the same worker. */
+  public boolean isNewerThan(long otherIncarnation, long otherSequence) {
+    return incarnation > otherIncarnation
+        || (incarnation == otherIncarnation && sequence > otherSequence);
   }
 }
--- a/src/main/java/gladeknot/workers/HeartbeatHandler.java
+++ b/src/main/java/gladeknot/workers/HeartbeatHandler.java
@@ -2,96 +2,58 @@
 
 import gladeknot.connectivity.ControlAction;
 import gladeknot.connectivity.HeartbeatObserver;
+import gladeknot.json.InvalidFieldException;
 import gladeknot.json.Json;
 import gladeknot.membership.Membership;
 import gladeknot.outbox.Outbox;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
+import gladeknot.workers.HeartbeatAnswers.Refusal;
 import java.io.IOException;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes the workers' reports and answers them. */
+/** Admits the workers' heartbeats and answers them. */
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
-  /** Brings what a report says together with what the slices say. */
+  /** Brings what heartbeats list together with what the records say. */
   public interface Reconciler {
-    /** The commands that follow from a report just taken in. */
-    List<WorkerCommand> reconcile(Worker worker, Heartbeat report);
+    /** The commands that follow from a heartbeat that has just been admitted, or was held. */
+    List<WorkerCommand> reconcile(Worker worker, Heartbeat heartbeat);
 
-    /** Decides starts, now or soon; returns the number of the round that takes this report in. */
+    /**
+     * Has starts decided, now or soon; returns the number of the scheduling round that takes the
+     * newest heartbeats into account.
+     */
     long requestScheduling();
 
-    /** How many rounds of decisions there have been. */
+    /** How many scheduling rounds there have been. */
     long completedRounds();
 
-    /** Takes in that a machine has lost what it had, but for what its state lists. */
-    void onWorkerRestart(Worker worker, Heartbeat now);
+    /** A worker has restarted: what its status does not list is no longer on it. */
+    void onWorkerRestart(Worker worker, Heartbeat status);
 
-    /** Whether nothing on a machine is about to end or to begin, as far as is known. */
+    /** Whether nothing on a worker is about to end or to start, as far as is known. */
     boolean isSteady(Worker worker);
 
-    /** Kills for the tasks of a report whose jobs are over by the copy. */
-    List<WorkerCommand> killsForFinishedJobs(Heartbeat report);
+    /** Kills for the listed tasks whose jobs are finished by the cached state. */
+    List<WorkerCommand> killsForFinishedJobs(Heartbeat heartbeat);
 
-    /** Makes an unexpected machine ours. */
-    void registerUnknownWorker(Heartbeat report);
+    /** Registers a machine that the cached state does not have. */
+    void registerUnknownWorker(Heartbeat heartbeat);
   }
 
-  /**
-   * How long an answer waits for a start that is being decided or committed, at least, and as a
-   * part of the time between two reports: in a large fleet both take longer, and what misses this
-   * answer leaves its place empty until the next report. Far below what a worker waits for an
-   * answer.
-   */
-  private static final long MIN_HOLD_MICROS = 400_000;
-
-  private static final double HOLD_SHARE = 0.3;
-  private static final long MAX_HOLD_MICROS = 1_200_000;
-
-  /**
-   * A quiet machine's answer waits for a start for this part of the time between two reports: a run
-   * goes in answers alone, and with seconds between them work that is to start at once would wait
-   * for the next. What a worker waits for an answer is longer than this at any report's pace.
-   */
-  private static final double QUIET_SHARE = 0.5;
-
-  private static final long MAX_QUIET_MICROS = 2_000_000;
-
-  /** How often held answers are looked through, but for those that a commit sets free. */
-  private static final long RELEASE_MICROS = 40_000;
-
-  /** A worker that comes again so soon has not got through to its controller. */
-  private static final long BACK_MICROS = 12_000_000;
-
-  /** Between two questions to a machine whose reports look old. */
-  private static final long ASK_MICROS = 2_000_000;
-
-  private record Held(
-      long request,
-      Worker worker,
-      Heartbeat report,
-      long round,
-      long untilMicros,
-      long quietUntilMicros) {}
-
   private final StateStore stateStore;
   private final Membership membership;
   private final WorkerRegistry workers;
-  private final Outbox outbox;
-  private final HeartbeatObserver traffic;
+  private final HeartbeatObserver observer;
   private final Reconciler reconciler;
-  private final Map<String, Long> sentAway = new HashMap<>();
-  private long nextSweepMicros;
-  private final List<Held> held = new ArrayList<>();
-  private final long holdMicros;
-  private final long quietMicros;
-  private long nextReleaseMicros;
+  private final HeartbeatAnswers answers;
+  private final LongPolls longPolls;
+  private final RemoteHeartbeats remoteHeartbeats;
+  private final RestartProbe restartProbe;
   private long nowMicros;
 
   /** A handler that answers through the outbox. */
@@ -101,219 +63,116 @@
       Membership membership,
       WorkerRegistry workers,
       Outbox outbox,
-      HeartbeatObserver traffic,
-      Reconciler sync) {
-    long share = (long) (settings.workers().heartbeatMicros() * HOLD_SHARE);
-    this.holdMicros = Math.max(MIN_HOLD_MICROS, Math.min(MAX_HOLD_MICROS, share));
-    this.quietMicros =
-        Math.min(MAX_QUIET_MICROS, (long) (settings.workers().heartbeatMicros() * QUIET_SHARE));
+      HeartbeatObserver observer,
+      Reconciler reconciler) {
     this.stateStore = stateStore;
     this.membership = membership;
     this.workers = workers;
-    this.outbox = outbox;
-    this.traffic = traffic;
-    this.reconciler = sync;
+    this.observer = observer;
+    this.reconciler = reconciler;
+    answers = new HeartbeatAnswers(membership, outbox, observer);
+    longPolls = new LongPolls(settings, membership, reconciler, answers);
+    remoteHeartbeats =
+        new RemoteHeartbeats(stateStore, membership, reconciler, answers, this::admit);
+    restartProbe = new RestartProbe(membership, outbox, reconciler);
   }
 
-  /** Answers held reports that can't wait any longer. */
+  /** Sets the time, and answers held heartbeats that can't wait any longer. */
   public void tick(long now) {
     nowMicros = now;
-    if (now >= nextSweepMicros) {
-      nextSweepMicros = now + BACK_MICROS;
-      sentAway.values().removeIf(at -> now - at > BACK_MICROS);
-    }
-    if (now >= nextReleaseMicros) {
-      nextReleaseMicros = now + RELEASE_MICROS;
-      release();
-    }
+    remoteHeartbeats.tick(now);
+    longPolls.tick(now);
+  }
+
+  /** Answers heartbeats that were held for a commit, which has ended. */
+  public void release() {
+    longPolls.release();
   }
 
   /** POST /hello. */
   public void handle(long request, byte[] body) {
-    Heartbeat report;
+    Heartbeat heartbeat;
     try {
-      report = Heartbeat.parse(Json.object(body));
+      heartbeat = HeartbeatCodec.read(Json.object(body));
     } catch (IOException e) {
-      outbox.answer(request, 400, Json.of("error", "body: not a JSON object"));
+      answers.malformed(request, "body: not a JSON object");
       return;
-    } catch (Heartbeat.MalformedHeartbeatException e) {
-      outbox.answer(request, 400, Json.of("error", e.getMessage()));
+    } catch (InvalidFieldException e) {
+      answers.malformed(request, e.getMessage());
       return;
     }
+    admit(request, heartbeat);
+  }
+
+  private void admit(long request, Heartbeat heartbeat) {
     if (!stateStore.loaded() || !membership.mayAct()) {
-      outbox.retryLater(request, 503, "not entitled to answer workers", 1);
+      answers.refuse(request, Refusal.NOT_ENTITLED);
       return;
     }
-    Worker worker = workers.get(report.host());
+    Worker worker = workers.get(heartbeat.host());
     if (worker == null || !worker.registered()) {
-      // Not in the state store: rented by a request whose answer was lost, or the copy is behind.
-      reconciler.registerUnknownWorker(report);
-      outbox.retryLater(request, 503, "unknown machine", 1);
+      // Launched by a request whose answer was lost, or the cached state lags.
+      reconciler.registerUnknownWorker(heartbeat);
+      answers.refuse(request, Refusal.UNKNOWN_WORKER);
       return;
     }
     int shard = worker.shard();
-    if (!membership.permits(ControlAction.RENEW_LEASE, shard)) {
-      traffic.onHeartbeat(arrival(report, shard, false));
-      elsewhere(request, body, report, shard);
-      return;
+    if (membership.permits(ControlAction.RENEW_LEASE, shard)) {
+      admitOwned(request, worker, heartbeat);
+    } else {
+      observer.onHeartbeat(arrival(heartbeat, shard, false));
+      remoteHeartbeats.answer(request, heartbeat, shard);
     }
+  }
+
+  /** Admits a heartbeat of a worker of an owned shard, unless it is to be refused. */
+  private void admitOwned(long request, Worker worker, Heartbeat heartbeat) {
+    int shard = worker.shard();
     long term = membership.term(shard);
-    if (report.fencingToken() > term) {
+    if (heartbeat.fencingToken() > term) {
       LOG.info(
-          "worker {} has seen token {} above term {}", report.host(), report.fencingToken(), term);
+          "term raise requested shard={} worker={} token={} term={}",
+          shard,
+          heartbeat.host(),
+          heartbeat.fencingToken(),
+          term);
       membership.raiseTerm(shard);
-      outbox.retryLater(request, 503, "its controller's term is being raised", 1);
+      answers.refuse(request, Refusal.TERM_BEING_RAISED);
       return;
     }
     Heartbeat last = worker.heartbeat();
-    if (last != null && !report.isNewerThan(last.incarnation(), last.sequence())) {
-      // A late copy: the worker has gone on, what this says is over. Or the machine has begun
-      // anew, and counts from the start again: it is asked.
-      if (worker.mayProbe(nowMicros, ASK_MICROS)) {
-        ask(worker, report.endpoint());
-      }
-      outbox.retryLater(request, 503, "older than a report already taken", 1);
+    if (last != null && !heartbeat.isNewerThan(last.incarnation(), last.sequence())) {
+      // A delayed copy, which no longer holds; or the machine has restarted.
+      restartProbe.probe(worker, heartbeat.endpoint(), nowMicros);
+      answers.refuse(request, Refusal.OUT_OF_ORDER);
       return;
     }
-    HeartbeatObserver.Arrival arrival = arrival(report, shard, true);
-    String elsewhere = traffic.redirect(arrival, report.tasks().isEmpty());
-    if (elsewhere != null) {
-      outbox.answer(request, 421, CommandCodec.redirect(elsewhere));
+    HeartbeatObserver.Arrival arrival = arrival(heartbeat, shard, true);
+    String otherNode = observer.redirect(arrival, heartbeat.tasks().isEmpty());
+    if (otherNode != null) {
+      answers.redirect(request, otherNode);
       return;
     }
-    worker.onHeartbeat(report, nowMicros);
-    traffic.onHeartbeat(arrival);
-    List<WorkerCommand> orders = reconciler.reconcile(worker, report);
-    long quietUntil = orders.isEmpty() && reconciler.isSteady(worker) ? nowMicros + quietMicros : 0;
-    long until = Math.max(nowMicros, quietUntil) + holdMicros;
-    Held h = new Held(request, worker, report, reconciler.requestScheduling(), until, quietUntil);
-    if (pending(h) || nowMicros < quietUntil) {
-      // A start for this worker is being decided or committed: it goes with this answer, rather
-      // than with that to its next report.
-      held.add(h);
-      return;
-    }
-    answer(request, worker, orders);
+    worker.onHeartbeat(heartbeat, nowMicros);
+    observer.onHeartbeat(arrival);
+    reconcile(request, worker, heartbeat);
   }
 
-  private static HeartbeatObserver.Arrival arrival(Heartbeat report, int shard, boolean ours) {
-    return new HeartbeatObserver.Arrival(
-        report.host(), report.zone(), shard, ours, report.incarnation(), report.sequence());
-  }
-
-  /**
-   * Asks a machine for its state. An answer that is older than a report already taken can only come
-   * from a machine that has lost all it had since.
-   */
-  private void ask(Worker worker, String endpoint) {
-    Heartbeat last = worker.heartbeat();
-    outbox.call(
-        endpoint,
-        "GET",
-        "/status",
-        null,
-        ASK_MICROS,
-        reply -> {
-          if (reply.status() != 200 || worker.heartbeat() != last) {
-            return;
-          }
-          try {
-            Heartbeat now = Heartbeat.parse(reply.object());
-            if (now.host().equals(worker.host())
-                && last.isNewerThan(now.incarnation(), now.sequence())) {
-              LOG.info("worker {} has begun anew", worker.host());
-              worker.onRestart();
-              if (membership.permits(ControlAction.KILL, worker.shard())) {
-                reconciler.onWorkerRestart(worker, now);
-              }
-            }
-          } catch (Heartbeat.MalformedHeartbeatException e) {
-            LOG.info("status of {} not understood: {}", worker.host(), e.getMessage());
-          }
-        });
-  }
-
-  /** A worker whose shard another controller owns. */
-  private void elsewhere(long request, byte[] body, Heartbeat report, int shard) {
-    String owner = membership.liveOwner(shard);
-    long term = membership.term(shard);
-    if (owner == null) {
-      outbox.retryLater(request, 503, "its controller is changing", 1);
-      return;
-    }
-    Long before = sentAway.put(report.host(), nowMicros);
-    boolean back = before != null && nowMicros - before < BACK_MICROS;
-    if (!back || report.fencingToken() != term || report.tasks().isEmpty()) {
-      outbox.answer(request, 421, CommandCodec.redirect(owner));
-      return;
-    }
-    // It was sent to its controller and has come back: its lease is renewed here for a while, so
-    // that its tasks outlive a restart, or a cut that leads to a change of hands.
-    if (membership.isDelegateFor(shard)) {
-      answerAsDelegate(request, body, report, shard, term);
-    } else {
-      membership.becomeDelegate(
-          shard,
-          done -> {
-            if (done) {
-              answerAsDelegate(request, body, report, shard, term);
-            } else {
-              outbox.answer(request, 421, CommandCodec.redirect(owner));
-            }
-          });
+  private void reconcile(long request, Worker worker, Heartbeat heartbeat) {
+    List<WorkerCommand> commands = reconciler.reconcile(worker, heartbeat);
+    boolean steady = commands.isEmpty() && reconciler.isSteady(worker);
+    if (!longPolls.hold(request, worker, heartbeat, steady)) {
+      answers.accept(request, worker, commands, nowMicros);
     }
   }
 
-  /**
-   * Renews a worker's lease in its owner's place. The barrier is read after the report came: if the
-   * shard has changed hands since the report was sent, it shows, and so does each cancellation
-   * committed by then. Whose job is over gets its kill, so that no delegation, however many follow
-   * one another, keeps a cancelled task beyond its time; other commands are the owner's alone.
-   */
-  private void answerAsDelegate(long request, byte[] body, Heartbeat report, int shard, long term) {
-    stateStore.readBarrier(
-        () -> {
-          if (membership.permits(ControlAction.RENEW_LEASE, shard)) {
-            handle(request, body);
-          } else if (membership.term(shard) == term && membership.isDelegateFor(shard)) {
-            outbox.answer(
-                request, 200, CommandCodec.answer(term, reconciler.killsForFinishedJobs(report)));
-          } else {
-            outbox.retryLater(request, 503, "its controller is changing", 1);
-          }
-        },
-        () -> outbox.retryLater(request, 503, "the state service does not answer", 1));
-  }
-
-  private void answer(long request, Worker worker, List<WorkerCommand> orders) {
-    long term = membership.term(worker.shard());
-    worker.onAnswered(nowMicros, term);
-    traffic.onAnswered(worker.host());
-    outbox.answer(request, 200, CommandCodec.answer(term, orders));
-  }
-
-  private boolean pending(Held h) {
-    return reconciler.completedRounds() < h.round() || h.worker().hasUncommittedStarts();
-  }
-
-  /** Answers what was held for a commit that has ended, or that takes too long. */
-  public void release() {
-    if (held.isEmpty()) {
-      return;
-    }
-    for (Held h : List.copyOf(held)) {
-      boolean waits =
-          pending(h) || (nowMicros < h.quietUntilMicros() && !h.worker().hasCommandsToSend());
-      if (nowMicros < h.untilMicros() && waits) {
-        continue;
-      }
-      held.remove(h);
-      if (h.worker().heartbeat() == h.report()
-          && membership.permits(ControlAction.RENEW_LEASE, h.worker().shard())) {
-        answer(h.request(), h.worker(), reconciler.reconcile(h.worker(), h.report()));
-      } else {
-        outbox.retryLater(h.request(), 503, "its controller is changing", 1);
-      }
-    }
+  private static HeartbeatObserver.Arrival arrival(Heartbeat heartbeat, int shard, boolean owned) {
+    return new HeartbeatObserver.Arrival(
+        heartbeat.host(),
+        heartbeat.zone(),
+        shard,
+        owned,
+        heartbeat.incarnation(),
+        heartbeat.sequence());
   }
 }
--- a/src/main/java/gladeknot/workers/Worker.java
+++ b/src/main/java/gladeknot/workers/Worker.java
@@ -1,51 +1,34 @@
 package gladeknot.workers;
 
 import gladeknot.tasks.Attempt;
+import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A rented machine: its key, and for those of our shards its newest report. */
+/**
+ * A rented machine with the worker on it: its stored record, the attempts assigned to it, and for
+ * machines of this controller's shards what their heartbeats tell. Times are microseconds of the
+ * steady clock unless a name says otherwise.
+ */
 public final class Worker {
-  private static final long NEVER = Long.MIN_VALUE / 2;
+  private static final WorkerRecord UNREGISTERED = new WorkerRecord(0, "", "", false, 0, false);
 
   private final String host;
-  private int shard;
-  private String type = "";
-  private String zone = "";
-  private boolean spot;
-  private long launchedWallMicros;
-  private boolean terminating;
+  private WorkerRecord record = UNREGISTERED;
   private boolean registered;
 
   /** Where it listens, by the cloud's list. */
   private String listedEndpoint;
 
-  private Heartbeat heartbeat;
-  private long heartbeatMicros;
-  private long answeredMicros = NEVER;
+  private WorkerSession session = new WorkerSession();
+  private final WorkerReachability reachability = new WorkerReachability();
+  private final ImageCache imageCache = new ImageCache();
+  private final WorkerHealth health = new WorkerHealth();
 
-  /** The term of the last answer, and the answer before it that may have got there. */
-  private long answeredTerm;
-
-  private long previousAnsweredMicros = NEVER;
-  private long reclaimAtMicros;
-
-  /** Attempts by task name, for all shards as far as the followed copy tells. */
+  /** Attempts by task name, for all shards as far as the cached state tells. */
   private final Map<String, Attempt> attempts = new LinkedHashMap<>();
 
-  /** Images that it has, the newest last, with their sizes. */
-  private final LinkedHashMap<String, Double> cachedImages = new LinkedHashMap<>(8, 0.75f, true);
-
-  private int consecutiveFailures;
-  private String lastFailedJob = "";
-
-  private boolean unreachable;
-  private boolean confirmedUnreachable;
-  private long unreachableSinceMicros;
-  private long unreachableIncarnation;
-  private long probedMicros = NEVER;
-
-  private long quarantinedUntilMicros;
+  private long probedMicros = WorkerSession.NEVER;
   private long idleSinceMicros;
   private boolean surplus;
   private boolean releasing;
@@ -54,193 +37,256 @@
     this.host = host;
   }
 
-  public String record(int inShard, boolean isLeaving) {
-    return WorkerRecordCodec.encode(
-        new WorkerRecord(inShard, type, zone, spot, launchedWallMicros, isLeaving));
+  /** The machine's name. */
+  public String host() {
+    return host;
   }
 
-  /** Its record as the followed copy has it; null if it isn't entered. */
-  public String record() {
-    return registered ? record(shard, terminating) : null;
-  }
+  // The stored record.
 
-  void read(String record) {
-    WorkerRecord stored = WorkerRecordCodec.decode(record);
-    shard = stored.shard();
-    type = stored.type();
-    zone = stored.zone();
-    spot = stored.spot();
-    launchedWallMicros = stored.launchedWallMicros();
-    terminating = stored.terminating();
+  /** The state store has a record of the machine. */
+  void onRegistered(WorkerRecord stored) {
+    record = stored;
     registered = true;
   }
 
-  /** Its record has gone, and with it the machine. */
-  void markDeregistered() {
+  /** Its record was deleted, and with it the machine. */
+  void onDeregistered() {
+    record =
+        new WorkerRecord(
+            record.shard(),
+            record.type(),
+            record.zone(),
+            record.spot(),
+            record.launchedWallMicros(),
+            true);
     registered = false;
-    terminating = true;
   }
 
+  /** Its stored form as the cached state has it; null if the state store does not have it. */
+  public String record() {
+    return registered ? record(record.shard(), record.terminating()) : null;
+  }
+
+  /** The stored form for a machine in another shard, or whose release has been decided. */
+  public String record(int inShard, boolean isTerminating) {
+    return WorkerRecordCodec.encode(
+        new WorkerRecord(
+            inShard,
+            record.type(),
+            record.zone(),
+            record.spot(),
+            record.launchedWallMicros(),
+            isTerminating));
+  }
+
+  /** Whether the state store has it. */
+  public boolean registered() {
+    return registered;
+  }
+
+  /** The shard that it belongs to. */
+  public int shard() {
+    return record.shard();
+  }
+
+  /** The name of its machine type; empty if it was never registered. */
+  public String type() {
+    return record.type();
+  }
+
+  /** The zone that it is in; empty if it was never registered. */
+  public String zone() {
+    return record.zone();
+  }
+
+  /** Whether it is a spot instance. */
+  public boolean spot() {
+    return record.spot();
+  }
+
+  /** The time of day at which it was registered. */
+  public long launchedWallMicros() {
+    return record.launchedWallMicros();
+  }
+
+  /** Whether its release has been decided. */
+  public boolean terminating() {
+    return record.terminating();
+  }
+
+  // The session.
+
+  /** Records a heartbeat that is newer than those before it. */
   void onHeartbeat(Heartbeat newest, long nowMicros) {
-    if (newest.fencingToken() < answeredTerm) {
-      // It has not seen the token of our last answer: that got lost, and renewed no lease.
-      answeredMicros = previousAnsweredMicros;
-      answeredTerm = 0;
-    }
-    heartbeat = newest;
-    heartbeatMicros = nowMicros;
-    reclaimAtMicros =
-        newest.reclaimInSeconds() < 0 ? 0 : nowMicros + (long) (newest.reclaimInSeconds() * 1e6);
+    session.onHeartbeat(newest, nowMicros);
   }
 
+  /** Records an answer that renews its lease if it arrives. */
   void onAnswered(long nowMicros, long term) {
-    if (answeredTerm == 0 || heartbeat.fencingToken() >= answeredTerm) {
-      previousAnsweredMicros = answeredMicros;
-    }
-    answeredTerm = term;
-    answeredMicros = nowMicros;
+    session.onAnswered(nowMicros, term);
   }
 
-  /** Notes that our answers don't reach it: nothing new goes there until one does. */
-  public void markUnreachable(long nowMicros) {
-    if (!unreachable) {
-      unreachable = true;
-      unreachableSinceMicros = nowMicros;
-      unreachableIncarnation = heartbeat.incarnation();
-    }
+  /** It has restarted without the tasks that were on it. */
+  void onRestart() {
+    session.onRestart();
+  }
+
+  /** Forgets the session, as when its shard was acquired from another controller. */
+  void resetSession() {
+    session = new WorkerSession();
+  }
+
+  /** Its newest heartbeat; null if none has arrived in this session. */
+  public Heartbeat heartbeat() {
+    return session.heartbeat();
+  }
+
+  /** When its newest heartbeat arrived; 0 if none has in this session. */
+  public long heartbeatMicros() {
+    return session.heartbeatMicros();
   }
 
   /**
-   * Looks at what its newest report says of that: a session that outlasts a lease has been
-   * answered, so that an answer or two were only late; one that has ended meanwhile has not.
+   * When the newest answer that may have renewed its lease was sent; long before any time if there
+   * is none.
    */
-  public void updateReachability(long nowMicros, long leaseMicros) {
-    if (!unreachable) {
-      return;
-    }
-    if (heartbeat.incarnation() > unreachableIncarnation) {
-      confirmedUnreachable = true;
-    } else if (nowMicros - unreachableSinceMicros > leaseMicros) {
-      markReachable();
-    }
+  public long answeredMicros() {
+    return session.answeredMicros();
   }
 
-  /** Whether a session has ended for want of the answers that were given in it. */
-  public boolean confirmedUnreachable() {
-    return confirmedUnreachable;
+  /**
+   * When a run command can next be sent to it: these are part of answers only, and a heartbeat that
+   * is held as a long poll has still to be answered.
+   */
+  public long nextAnswerMicros(long heartbeatIntervalMicros) {
+    long heartbeatMicros = session.heartbeatMicros();
+    return session.answeredMicros() < heartbeatMicros
+        ? heartbeatMicros
+        : heartbeatMicros + heartbeatIntervalMicros;
   }
 
-  /** Notes that a command of ours was carried out. */
-  public void markReachable() {
-    unreachable = false;
-    confirmedUnreachable = false;
+  /** When the cloud takes it back; 0 if it has given no notice. */
+  public long reclaimAtMicros() {
+    return session.reclaimAtMicros();
   }
 
-  public boolean unreachable() {
-    return unreachable;
+  /** Where commands reach it, as host:port; null if that is not known. */
+  public String endpoint() {
+    Heartbeat heartbeat = session.heartbeat();
+    return heartbeat != null ? heartbeat.endpoint() : listedEndpoint;
   }
 
-  /** Whether its state is worth asking for: what it sends is older than what it has sent. */
-  boolean mayProbe(long nowMicros, long gapMicros) {
-    if (nowMicros < probedMicros + gapMicros) {
+  /** Records where it listens by the cloud's list, which counts until it sends a heartbeat. */
+  public void setListedEndpoint(String endpoint) {
+    listedEndpoint = endpoint;
+  }
+
+  /** Whether it may be probed now, not sooner than an interval after the last probe. */
+  boolean tryProbe(long nowMicros, long intervalMicros) {
+    if (nowMicros < probedMicros + intervalMicros) {
       return false;
     }
     probedMicros = nowMicros;
     return true;
   }
 
-  /** It has begun anew, without what was on it: older sessions count no more. */
-  void onRestart() {
-    heartbeat = null;
-    answeredTerm = 0;
+  // Reachability.
+
+  /** Records that answers don't reach it: nothing is started on it until one does. */
+  public void markUnreachable(long nowMicros) {
+    reachability.markUnreachable(session.heartbeat().incarnation(), nowMicros);
   }
 
-  /** Notes an image that it has, forgetting those used longest ago when they don't fit. */
-  public void cacheImage(String image, double gb, double cacheGb) {
-    Double known = cachedImages.put(image, gb);
-    if (known != null && known == gb) {
-      return;
-    }
-    double sum = cachedImages.values().stream().mapToDouble(Double::doubleValue).sum();
-    var oldest = cachedImages.entrySet().iterator();
-    while (sum > cacheGb && oldest.hasNext()) {
-      sum -= oldest.next().getValue();
-      oldest.remove();
-    }
+  /** Records that a command was carried out. */
+  public void markReachable() {
+    reachability.markReachable();
   }
 
-  public boolean hasImage(String image) {
-    return cachedImages.containsKey(image);
+  /** Judges by its newest heartbeat whether answers reach it after all. */
+  public void updateReachability(long nowMicros, long leaseMicros) {
+    reachability.update(session.heartbeat().incarnation(), nowMicros, leaseMicros);
   }
 
-  public java.util.Collection<String> cachedImages() {
-    return cachedImages.keySet();
+  /** Whether answers don't reach it, as it seems. */
+  public boolean unreachable() {
+    return reachability.unreachable();
   }
 
-  /** Forgets the session, as when its shard has come from another controller. */
-  void resetSession() {
-    heartbeat = null;
-    heartbeatMicros = 0;
-    answeredMicros = NEVER;
-    previousAnsweredMicros = NEVER;
-    answeredTerm = 0;
-    reclaimAtMicros = 0;
+  /** Whether an incarnation has ended although its heartbeats were answered. */
+  public boolean confirmedUnreachable() {
+    return reachability.confirmed();
   }
 
-  /** How many tasks failed on it in a row; failures of more than one job count twice. */
+  // Images.
+
+  /** Records an image that it uses, and evicts those used longest ago if they don't fit. */
+  public void cacheImage(String image, double imageGb, double cacheGb) {
+    imageCache.use(image, imageGb, cacheGb);
+  }
+
+  /** Whether it has an image, as far as that is known. */
+  public boolean hasImage(String image) {
+    return imageCache.contains(image);
+  }
+
+  /** The images that it has, the one used most recently last. */
+  public Collection<String> cachedImages() {
+    return imageCache.images();
+  }
+
+  // Health.
+
+  /** Tasks that failed on it in a row; failures of more than one job count twice. */
   public int consecutiveFailures() {
-    return consecutiveFailures;
+    return health.consecutiveFailures();
   }
 
   /** A task has completed on it. */
   public void resetFailures() {
-    consecutiveFailures = 0;
+    health.resetFailures();
   }
 
   /** Counts a task that failed on it; returns {@link #consecutiveFailures}. */
   public int countFailure(String job) {
-    consecutiveFailures++;
-    if (!lastFailedJob.equals(job) && consecutiveFailures > 1) {
-      // Failures of more than one job in a row speak against the machine.
-      consecutiveFailures++;
-    }
-    lastFailedJob = job;
-    return consecutiveFailures;
+    return health.countFailure(job);
   }
 
   /** No task is started on it before this time. */
   public long quarantinedUntilMicros() {
-    return quarantinedUntilMicros;
+    return health.quarantinedUntilMicros();
   }
 
-  /** Starts no task on it before a time. */
+  /** Lets no task start on it before a time. */
   public void quarantineUntil(long micros) {
-    quarantinedUntilMicros = micros;
+    health.quarantineUntil(micros);
   }
 
-  /** Since when nothing is on it; 0 while something is, or if that is not known. */
+  // Scale-in.
+
+  /** Since when no task is on it; 0 while one is, or if that is not known. */
   public long idleSinceMicros() {
     return idleSinceMicros;
   }
 
-  /** Nothing is on it, from now on unless that was so already. */
+  /** No task is on it, from now on unless that was so already. */
   public void markIdle(long nowMicros) {
     if (idleSinceMicros == 0) {
       idleSinceMicros = nowMicros;
     }
   }
 
-  /** Something is on it. */
+  /** A task is on it. */
   public void markBusy() {
     idleSinceMicros = 0;
   }
 
-  /** Whether the work that is likely to come fits on the other machines. */
+  /** Whether the demand that is forecast fits on the other machines. */
   public boolean surplus() {
     return surplus;
   }
 
-  /** Says whether the work that is likely to come fits on the other machines. */
+  /** Says whether the demand that is forecast fits on the other machines. */
   public void setSurplus(boolean isSurplus) {
     surplus = isSurplus;
   }
@@ -255,96 +301,33 @@
     releasing = isReleasing;
   }
 
-  public String host() {
-    return host;
-  }
-
-  public int shard() {
-    return shard;
-  }
-
-  public String type() {
-    return type;
-  }
-
-  public String zone() {
-    return zone;
-  }
-
-  public boolean spot() {
-    return spot;
-  }
-
-  public long launchedWallMicros() {
-    return launchedWallMicros;
-  }
+  // Attempts.
 
-  public boolean terminating() {
-    return terminating;
-  }
-
-  /** Whether the state store has it. */
-  public boolean registered() {
-    return registered;
-  }
-
-  public Heartbeat heartbeat() {
-    return heartbeat;
-  }
-
-  /** Where commands reach it; null if that is not known. */
-  public String endpoint() {
-    return heartbeat != null ? heartbeat.endpoint() : listedEndpoint;
-  }
-
-  public void setListedEndpoint(String endpoint) {
-    listedEndpoint = endpoint;
-  }
-
-  public long heartbeatMicros() {
-    return heartbeatMicros;
-  }
-
-  /**
-   * When a command can next reach it: runs go in answers alone, and a report that is held for a
-   * start has still to be answered.
-   */
-  public long nextAnswerMicros(long reportEveryMicros) {
-    return answeredMicros < heartbeatMicros ? heartbeatMicros : heartbeatMicros + reportEveryMicros;
-  }
-
-  public long answeredMicros() {
-    return answeredMicros;
-  }
-
-  /** When the cloud takes it away; 0 if it stays. */
-  public long reclaimAtMicros() {
-    return reclaimAtMicros;
+  /** The attempts assigned to it, by task name; only {@link WorkerRegistry} adds and removes. */
+  public Map<String, Attempt> attempts() {
+    return attempts;
   }
 
-  /** Whether a start decided for it waits to be committed. */
+  /** Whether a start that was decided for it waits to be committed. */
   boolean hasUncommittedStarts() {
-    for (Attempt a : attempts.values()) {
-      if (!a.closed() && !a.committed()) {
+    for (Attempt attempt : attempts.values()) {
+      if (!attempt.closed() && !attempt.committed()) {
         return true;
       }
     }
     return false;
   }
 
-  /** Whether a start has been committed that no answer has carried yet, or an end is wanted. */
+  /** Whether a committed start has not been sent or not been taken up, or a kill is wanted. */
   boolean hasCommandsToSend() {
-    for (Attempt a : attempts.values()) {
-      if (!a.closed()
-          && a.committed()
-          && (a.killRequested() || a.observedPhase() == Attempt.ObservedPhase.NOT_OBSERVED)) {
+    for (Attempt attempt : attempts.values()) {
+      if (!attempt.closed()
+          && attempt.committed()
+          && (attempt.killRequested()
+              || attempt.observedPhase() == Attempt.ObservedPhase.NOT_OBSERVED)) {
         return true;
       }
     }
     return false;
   }
-
-  public Map<String, Attempt> attempts() {
-    return attempts;
-  }
 }
--- a/src/main/java/gladeknot/workers/WorkerRegistry.java
+++ b/src/main/java/gladeknot/workers/WorkerRegistry.java
@@ -9,44 +9,42 @@
 import java.util.Map;
 import java.util.Set;
 
-/** All machines, by name. */
+/**
+ * All machines by name: those that the state store has, and those that attempts are assigned to.
+ */
 public final class WorkerRegistry {
   private final Map<String, Worker> workers = new LinkedHashMap<>();
   private final Map<Integer, Map<String, Worker>> byShard = new HashMap<>();
   private final Set<String> released = new HashSet<>();
 
+  /** The worker on a machine; null if it is not known. */
   public Worker get(String host) {
     return workers.get(host);
   }
 
+  /** All machines, in the order in which they became known; a view. */
   public Collection<Worker> all() {
     return workers.values();
   }
 
-  /** The machines of a shard that the state store has. */
+  /** The machines of a shard that the state store has; a view. */
   public Collection<Worker> inShard(int shard) {
     return byShard.getOrDefault(shard, Map.of()).values();
   }
 
-  /** Whether a machine was given back: what still comes in its name is a late copy. */
+  /** Whether a machine was released: what still arrives in its name was delayed. */
   public boolean wasReleased(String host) {
     return released.contains(host);
   }
 
-  /** Takes in a change of a key of machines. */
+  /** Follows a change of a key that holds machines. */
   public void onChange(String key, StateStore.Entry before, StateStore.Entry now) {
     Map<String, Object> old = before == null ? Map.of() : before.data();
     Map<String, Object> data = now == null ? Map.of() : now.data();
     data.forEach(
         (field, record) -> {
           if (!record.equals(old.get(field))) {
-            String host = WorkerRecordCodec.host(key, field);
-            if (record.equals(WorkerRecordCodec.RELEASED)) {
-              released.add(host);
-              onDeregistered(host);
-            } else {
-              onRegistered(host, (String) record);
-            }
+            onRecord(WorkerRecordCodec.host(key, field), (String) record);
           }
         });
     for (String field : old.keySet()) {
@@ -56,50 +54,59 @@
     }
   }
 
-  private void onRegistered(String host, String record) {
-    Worker w = workers.computeIfAbsent(host, Worker::new);
-    int before = w.shard();
-    boolean known = w.registered();
-    w.read(record);
-    if (known && before != w.shard()) {
-      w.resetSession();
-      byShard.get(before).remove(host);
+  private void onRecord(String host, String stored) {
+    if (stored.equals(WorkerRecordCodec.RELEASED)) {
+      released.add(host);
+      onDeregistered(host);
+    } else {
+      onRegistered(host, WorkerRecordCodec.decode(stored));
     }
-    byShard.computeIfAbsent(w.shard(), s -> new LinkedHashMap<>()).put(host, w);
+  }
+
+  private void onRegistered(String host, WorkerRecord record) {
+    Worker worker = workers.computeIfAbsent(host, Worker::new);
+    int shardBefore = worker.shard();
+    boolean known = worker.registered();
+    worker.onRegistered(record);
+    if (known && shardBefore != worker.shard()) {
+      worker.resetSession();
+      byShard.get(shardBefore).remove(host);
+    }
+    byShard.computeIfAbsent(worker.shard(), shard -> new LinkedHashMap<>()).put(host, worker);
   }
 
   private void onDeregistered(String host) {
-    Worker w = workers.get(host);
-    if (w == null) {
+    Worker worker = workers.get(host);
+    if (worker == null) {
       return;
     }
-    Map<String, Worker> shard = byShard.get(w.shard());
+    Map<String, Worker> shard = byShard.get(worker.shard());
     if (shard != null) {
       shard.remove(host);
     }
-    w.markDeregistered();
-    if (w.attempts().isEmpty()) {
+    worker.onDeregistered();
+    if (worker.attempts().isEmpty()) {
       workers.remove(host);
     }
   }
 
-  /** Notes an attempt on its machine, known or not. */
-  public void attach(Attempt a) {
-    workers.computeIfAbsent(a.host(), Worker::new).attempts().put(a.name(), a);
+  /** Assigns an attempt to its machine, which need not be registered. */
+  public void attach(Attempt attempt) {
+    workers.computeIfAbsent(attempt.host(), Worker::new).attempts().put(attempt.name(), attempt);
   }
 
-  /** Takes an attempt off its machine. */
-  public void detach(Attempt a) {
-    Worker w = workers.get(a.host());
-    if (w != null) {
-      w.attempts().remove(a.name(), a);
-      if (!w.registered() && w.attempts().isEmpty()) {
-        workers.remove(a.host());
+  /** Removes an attempt from its machine. */
+  public void detach(Attempt attempt) {
+    Worker worker = workers.get(attempt.host());
+    if (worker != null) {
+      worker.attempts().remove(attempt.name(), attempt);
+      if (!worker.registered() && worker.attempts().isEmpty()) {
+        workers.remove(attempt.host());
       }
     }
   }
 
-  /** Forgets what a former owner's sessions of a shard said. */
+  /** Forgets the sessions of a shard's workers, as the shard was released. */
   public void resetSessions(int shard) {
     inShard(shard).forEach(Worker::resetSession);
   }
--- /dev/null
+++ b/src/test/java/gladeknot/workers/WorkerRecordCodecTest.java
@@ -0,0 +1,18 @@
+package gladeknot.workers;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** The stored form of machines, which neighbouring versions read too. */
+class WorkerRecordCodecTest {
+  @Test
+  void recordsComeBackFromTheirStoredForm() {
+    WorkerRecord spot = new WorkerRecord(2, "small", "a", true, 5_000_000_000L, false);
+    assertEquals("2|small|a|s|5000000000|", WorkerRecordCodec.encode(spot));
+    assertEquals(spot, WorkerRecordCodec.decode("2|small|a|s|5000000000|"));
+    WorkerRecord leaving = new WorkerRecord(0, "g8", "b", false, 7, true);
+    assertEquals("0|g8|b|o|7|x", WorkerRecordCodec.encode(leaving));
+    assertEquals(leaving, WorkerRecordCodec.decode("0|g8|b|o|7|x"));
+  }
+}
--- a/src/test/java/gladeknot/workers/WorkerRegistryTest.java
+++ b/src/test/java/gladeknot/workers/WorkerRegistryTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gladeknot.json.InvalidFieldException;
 import gladeknot.json.Json;
 import gladeknot.state.StateStore;
 import java.util.List;
@@ -34,7 +35,7 @@
   }
 
   @Test
-  void aMachineMovesAndItsSessionIsForgotten() throws Heartbeat.MalformedHeartbeatException {
+  void aMachineMovesAndItsSessionIsForgotten() throws InvalidFieldException {
     WorkerRegistry book = new WorkerRegistry();
     StateStore.Entry first = entry("1", record(0), "2", record(0));
     book.onChange(KEY, null, first);
@@ -64,7 +65,7 @@
    * answer that did not must not keep a task from being started elsewhere.
    */
   @Test
-  void anAnswerThatWasLostDoesNotCount() throws Heartbeat.MalformedHeartbeatException {
+  void anAnswerThatWasLostDoesNotCount() throws InvalidFieldException {
     WorkerRegistry book = new WorkerRegistry();
     book.onChange(KEY, null, entry("1", record(0)));
     Worker w = book.get("vm-000231");
@@ -84,7 +85,7 @@
   }
 
   @Test
-  void aSessionThatOutlastsALeaseHasBeenAnswered() throws Heartbeat.MalformedHeartbeatException {
+  void aSessionThatOutlastsALeaseHasBeenAnswered() throws InvalidFieldException {
     WorkerRegistry book = new WorkerRegistry();
     book.onChange(KEY, null, entry("1", record(0)));
     Worker w = book.get("vm-000231");
@@ -102,9 +103,8 @@
     assertTrue(w.confirmedUnreachable());
   }
 
-  private static Heartbeat report(long tenure, long tick, long token)
-      throws Heartbeat.MalformedHeartbeatException {
-    return Heartbeat.parse(
+  private static Heartbeat report(long tenure, long tick, long token) throws InvalidFieldException {
+    return HeartbeatCodec.read(
         Map.of(
             "host",
             "vm-000231",
