--- a/src/main/java/gladeknot/lifecycle/KillDispatcher.java
+++ b/src/main/java/gladeknot/lifecycle/KillDispatcher.java
@@ -18,35 +18,62 @@
 import java.util.Set;
 
 /**
- * Sends kills to machines directly, again and again until one is answered: a machine that can't
- * reach us, or is out of reach when the end of its task is decided, gets it as soon as it can. Each
- * kill also goes with the answers to the machine's reports; this is the shorter way, not the proof.
+ * Sends kills to workers directly, repeated until one is acknowledged: a worker whose heartbeats
+ * don't arrive, or that can't be reached when the end of its task is decided, gets the kill as soon
+ * as possible. Each kill is also part of the answers to the worker's heartbeats; direct commands
+ * are faster, and prove nothing.
  */
 final class KillDispatcher {
-  private static final long CALL_MICROS = 3_000_000;
+  private static final long CALL_TIMEOUT_MICROS = 3_000_000;
 
-  /** Between two tries at one machine. */
-  private static final long AGAIN_MICROS = 2_000_000;
+  /** Between two calls to one worker. */
+  private static final long RETRY_INTERVAL_MICROS = 2_000_000;
 
   /**
-   * How many calls may be open: silent machines must not use up the sockets. However many machines
-   * there are, the others wait for a second or two, and get their kills with their reports too.
+   * Calls open at a time: unreachable machines must not use up the sockets. The others wait for a
+   * second or two, and get their kills with the answers to their heartbeats too.
    */
-  private static final int MAX_OPEN = 40;
+  private static final int MAX_OPEN_CALLS = 40;
 
-  /** What waits for one machine. */
+  private static final int OK = 200;
+  private static final int CONFLICT = 409;
+
+  /** The kills that wait for one worker. */
   private static final class PendingKills {
     private final Set<Attempt> attempts = new LinkedHashSet<>();
-    private long nextMicros;
-    private boolean open;
-    private long tenure;
+    private long nextCallMicros;
+    private boolean callOpen;
+
+    /** The newest incarnation that is known of the worker; 0 if none is. */
+    private long incarnation;
+
+    void add(Attempt attempt, long nowMicros) {
+      if (attempts.add(attempt)) {
+        nextCallMicros = Math.min(nextCallMicros, nowMicros);
+      }
+    }
+
+    boolean due(long nowMicros) {
+      return !callOpen && nowMicros >= nextCallMicros;
+    }
+
+    /** Records the incarnation that the worker names; if it is new, it may be called at once. */
+    void learnIncarnation(long newest, long nowMicros) {
+      if (newest > incarnation) {
+        incarnation = newest;
+        nextCallMicros = nowMicros;
+      }
+    }
   }
 
   private final Membership membership;
   private final WorkerRegistry workers;
   private final Outbox outbox;
-  private final Map<String, PendingKills> pending = new LinkedHashMap<>();
-  private int open;
+
+  /** By host, in the order of the first kill. */
+  private final Map<String, PendingKills> pendingByHost = new LinkedHashMap<>();
+
+  private int openCalls;
   private long nowMicros;
 
   KillDispatcher(Membership membership, WorkerRegistry workers, Outbox outbox) {
@@ -55,85 +82,102 @@
     this.outbox = outbox;
   }
 
-  /** Adds a kill; it goes at once if it can. */
-  void add(Attempt a) {
-    PendingKills e = pending.computeIfAbsent(a.host(), h -> new PendingKills());
-    if (e.attempts.add(a)) {
-      e.nextMicros = Math.min(e.nextMicros, nowMicros);
-    }
+  /** Adds a kill, to be sent with the next tick if possible. */
+  void add(Attempt attempt) {
+    pendingByHost
+        .computeIfAbsent(attempt.host(), host -> new PendingKills())
+        .add(attempt, nowMicros);
   }
 
+  /** Sends what is due, and drops kills that are no longer wanted. */
   void tick(long now) {
     nowMicros = now;
-    if (pending.isEmpty()) {
+    if (pendingByHost.isEmpty()) {
       return;
     }
-    for (Map.Entry<String, PendingKills> entry : List.copyOf(pending.entrySet())) {
-      PendingKills e = entry.getValue();
-      if (e.open || now < e.nextMicros) {
+    for (Map.Entry<String, PendingKills> entry : List.copyOf(pendingByHost.entrySet())) {
+      PendingKills pending = entry.getValue();
+      if (!pending.due(now)) {
         continue;
       }
-      e.attempts.removeIf(a -> !wanted(a));
-      if (e.attempts.isEmpty()) {
-        pending.remove(entry.getKey());
-      } else if (open < MAX_OPEN) {
-        send(entry.getKey(), e);
+      pending.attempts.removeIf(attempt -> !wanted(attempt));
+      if (pending.attempts.isEmpty()) {
+        pendingByHost.remove(entry.getKey());
+      } else if (openCalls < MAX_OPEN_CALLS) {
+        send(entry.getKey(), pending);
       }
     }
   }
 
-  /** Whether an attempt is still ours to stop. */
-  private boolean wanted(Attempt a) {
-    return !a.closed() && a.killRequested() && membership.ownedShards().contains(a.slice().shard());
+  /** Whether an attempt still runs, as far as is known, and belongs to an owned shard. */
+  private boolean wanted(Attempt attempt) {
+    return !attempt.closed()
+        && attempt.killRequested()
+        && membership.ownedShards().contains(attempt.slice().shard());
   }
 
-  private void send(String host, PendingKills e) {
-    Worker w = workers.get(host);
-    String endpoint = w == null ? null : w.endpoint();
-    e.nextMicros = nowMicros + AGAIN_MICROS;
+  private void send(String host, PendingKills pending) {
+    Worker worker = workers.get(host);
+    String endpoint = worker == null ? null : worker.endpoint();
+    pending.nextCallMicros = nowMicros + RETRY_INTERVAL_MICROS;
     if (endpoint == null) {
       return;
     }
-    Heartbeat last = w.heartbeat();
+    Heartbeat last = worker.heartbeat();
     if (last != null) {
-      e.tenure = Math.max(e.tenure, last.incarnation());
+      pending.incarnation = Math.max(pending.incarnation, last.incarnation());
     }
-    if (e.tenure == 0) {
-      // It has never reported to us: its session is asked for first.
-      call(endpoint, "GET", "/status", null, e, reply -> learn(reply, e));
-      return;
+    if (pending.incarnation == 0) {
+      // No heartbeat has arrived here: the worker is asked for its incarnation first.
+      call(endpoint, "GET", "/status", null, pending, reply -> learnIncarnation(reply, pending));
+    } else {
+      sendKills(endpoint, pending);
     }
-    List<WorkerCommand> orders = new ArrayList<>();
+  }
+
+  private void sendKills(String endpoint, PendingKills pending) {
+    List<WorkerCommand> kills = new ArrayList<>();
     List<Attempt> carried = new ArrayList<>();
     long term = -1;
-    for (Attempt a : e.attempts) {
-      int shard = a.slice().shard();
-      ControlAction kind = a.jobFinished() ? ControlAction.KILL_CANCELLED : ControlAction.KILL;
-      if (!membership.permits(kind, shard)) {
-        // Only the end of a job that is over is sure to be wanted, whoever acts for the shard.
+    for (Attempt attempt : pending.attempts) {
+      int shard = attempt.slice().shard();
+      if (!mayKill(attempt, shard)) {
         continue;
       }
       term = Math.max(term, membership.term(shard));
-      orders.add(new WorkerCommand.Kill(a.name(), a.number(), a.remainingGraceSeconds(nowMicros)));
-      carried.add(a);
+      kills.add(
+          new WorkerCommand.Kill(
+              attempt.name(), attempt.number(), attempt.remainingGraceSeconds(nowMicros)));
+      carried.add(attempt);
     }
-    if (orders.isEmpty()) {
+    if (kills.isEmpty()) {
       return;
     }
-    Object body = CommandCodec.directCommands(term, e.tenure, orders);
-    call(
-        endpoint,
-        "POST",
-        "/orders",
-        body,
-        e,
-        reply -> {
-          if (reply.status() == 200) {
-            carried.forEach(e.attempts::remove);
-          } else {
-            learn(reply, e);
-          }
-        });
+    Map<String, Object> body = CommandCodec.directCommands(term, pending.incarnation, kills);
+    call(endpoint, "POST", "/orders", body, pending, reply -> onReply(reply, pending, carried));
+  }
+
+  /**
+   * Whether a kill may be sent now. Only the end of a task of a finished job is sure to be wanted,
+   * whoever acts for the shard.
+   */
+  private boolean mayKill(Attempt attempt, int shard) {
+    return membership.permits(
+        attempt.jobFinished() ? ControlAction.KILL_CANCELLED : ControlAction.KILL, shard);
+  }
+
+  private void onReply(Outbox.Reply reply, PendingKills pending, List<Attempt> carried) {
+    if (reply.status() == OK) {
+      carried.forEach(pending.attempts::remove);
+    } else {
+      learnIncarnation(reply, pending);
+    }
+  }
+
+  private void learnIncarnation(Outbox.Reply reply, PendingKills pending) {
+    if (reply.status() == OK || reply.status() == CONFLICT) {
+      pending.learnIncarnation(HeartbeatCodec.incarnation(reply.object()), nowMicros);
+    }
   }
 
   private void call(
@@ -141,32 +185,20 @@
       String method,
       String path,
       Object body,
-      PendingKills e,
-      Outbox.ReplyHandler h) {
-    e.open = true;
-    open++;
+      PendingKills pending,
+      Outbox.ReplyHandler handler) {
+    pending.callOpen = true;
+    openCalls++;
     outbox.call(
         endpoint,
         method,
         path,
         body,
-        CALL_MICROS,
+        CALL_TIMEOUT_MICROS,
         reply -> {
-          e.open = false;
-          open--;
-          h.onReply(reply);
+          pending.callOpen = false;
+          openCalls--;
+          handler.onReply(reply);
         });
   }
-
-  /** Takes a machine's session from its own word, and tries again at once if it was another. */
-  private void learn(Outbox.Reply reply, PendingKills e) {
-    if (reply.status() != 200 && reply.status() != 409) {
-      return;
-    }
-    long tenure = HeartbeatCodec.incarnation(reply.object());
-    if (tenure > e.tenure) {
-      e.tenure = tenure;
-      e.nextMicros = nowMicros;
-    }
-  }
 }
--- a/src/main/java/gladeknot/lifecycle/SpotReclaims.java
+++ b/src/main/java/gladeknot/lifecycle/SpotReclaims.java
@@ -11,81 +11,87 @@
 import java.util.List;
 
 /**
- * Decides which tasks are stopped on spot machines that the cloud has given notice of taking back.
+ * Decides which tasks are stopped on spot machines that the cloud has announced to take back.
  *
- * <p>A task that is still there when its machine goes can start elsewhere only once its lease has
- * surely lapsed; one that has been stopped and reported may at once. Tasks that can't end in time
- * and save nothing are stopped as soon as that is clear, all others at the last moment.
+ * <p>A task that is still running when its machine is taken away can start elsewhere only once its
+ * lease has surely expired; one that was stopped, and whose end was reported, may start at once.
+ * Tasks that can't complete in time and save no checkpoints are stopped as soon as that is clear,
+ * all others at the last moment.
  */
 final class SpotReclaims {
-  /** What a stop takes: the command's way, the task's end, the report of it. */
+  /** What a stop takes: sending the command, ending the task, reporting the end. */
   private static final long STOP_MICROS = 2_000_000;
 
   /** A task that would take so many times as long as its machine has left won't end in time. */
-  private static final double SURELY_LATE = 1.25;
+  private static final double SURELY_LATE_FACTOR = 1.25;
 
   private final Membership membership;
   private final JobRegistry jobs;
   private final WorkerRegistry workers;
   private final RuntimeEstimates estimates;
+  private final AttemptTracker attempts;
 
   SpotReclaims(
-      Membership membership, JobRegistry jobs, WorkerRegistry workers, RuntimeEstimates estimates) {
+      Membership membership,
+      JobRegistry jobs,
+      WorkerRegistry workers,
+      RuntimeEstimates estimates,
+      AttemptTracker attempts) {
     this.membership = membership;
     this.jobs = jobs;
     this.workers = workers;
     this.estimates = estimates;
+    this.attempts = attempts;
   }
 
-  /** Stops a task with the time that it needs to save, in seconds. */
-  interface Stopper {
-    void stop(Attempt attempt, double graceS);
-  }
-
-  /** Stops what is due on the machines of a shard that is ours. */
-  void drain(int shard, long nowMicros, Stopper stopper) {
+  /** Stops what is due on the machines of an owned shard. */
+  void drain(int shard) {
     for (Worker worker : workers.inShard(shard)) {
-      if (worker.reclaimAtMicros() == 0) {
-        continue;
+      if (worker.reclaimAtMicros() != 0) {
+        drain(worker, worker.reclaimAtMicros() - attempts.nowMicros());
       }
-      long left = worker.reclaimAtMicros() - nowMicros;
-      for (Attempt attempt : List.copyOf(worker.attempts().values())) {
-        Job job = jobs.active(attempt.slice().job());
-        if (job != null && running(attempt) && due(attempt, job.spec(), left, nowMicros)) {
-          stop(attempt, job.spec(), stopper);
-        }
+    }
+  }
+
+  private void drain(Worker worker, long leftMicros) {
+    for (Attempt attempt : List.copyOf(worker.attempts().values())) {
+      Job job = jobs.active(attempt.slice().job());
+      if (job != null && stoppable(attempt) && due(attempt, job.spec(), leftMicros)) {
+        stop(attempt, job.spec());
       }
     }
   }
 
-  private boolean running(Attempt attempt) {
-    return attempt.committed()
-        && !attempt.closed()
-        && !attempt.killRequested()
-        && membership.ownedShards().contains(attempt.slice().shard());
+  private boolean stoppable(Attempt attempt) {
+    return live(attempt) && membership.ownedShards().contains(attempt.slice().shard());
+  }
+
+  private static boolean live(Attempt attempt) {
+    return attempt.committed() && !attempt.closed() && !attempt.killRequested();
   }
 
-  private boolean due(Attempt attempt, JobSpec spec, long leftMicros, long nowMicros) {
+  private boolean due(Attempt attempt, JobSpec spec, long leftMicros) {
     if (leftMicros <= STOP_MICROS + spec.checkpointMicros()) {
       return true;
     }
     if (spec.shape() != JobSpec.Shape.ARRAY || spec.checkpointIntervalMicros() > 0) {
       return false;
     }
-    long ran = attempt.runningSinceMicros() == 0 ? 0 : nowMicros - attempt.runningSinceMicros();
-    return estimates.runMicros(spec) - ran > leftMicros * SURELY_LATE;
+    long since = attempt.runningSinceMicros();
+    long ranMicros = since == 0 ? 0 : attempts.nowMicros() - since;
+    return estimates.runMicros(spec) - ranMicros > leftMicros * SURELY_LATE_FACTOR;
   }
 
-  /** A gang is stopped as a whole: its progress is saved only if all its tasks are told. */
-  private static void stop(Attempt attempt, JobSpec spec, Stopper stopper) {
-    double graceS = GracePeriod.seconds(spec);
+  /** A gang is stopped as a whole: its progress is saved only if all its tasks are stopped. */
+  private void stop(Attempt attempt, JobSpec spec) {
+    double graceSeconds = GracePeriod.seconds(spec);
     if (spec.shape() != JobSpec.Shape.GANG) {
-      stopper.stop(attempt, graceS);
+      attempts.kill(attempt, graceSeconds);
       return;
     }
     for (Attempt member : List.copyOf(attempt.slice().attemptsByTask().values())) {
-      if (member.committed() && !member.closed() && !member.killRequested()) {
-        stopper.stop(member, graceS);
+      if (live(member)) {
+        attempts.kill(member, graceSeconds);
       }
     }
   }
--- a/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
+++ b/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
@@ -9,478 +9,241 @@
 import gladeknot.membership.Membership;
 import gladeknot.outbox.Outbox;
 import gladeknot.settings.Settings;
-import gladeknot.state.StateStore.Mutation;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.RuntimeEstimates;
-import gladeknot.tasks.Slice;
 import gladeknot.tasks.SliceRegistry;
 import gladeknot.tracing.TaskTracer;
 import gladeknot.workers.Heartbeat;
-import gladeknot.workers.TaskPhase;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerCommand;
 import gladeknot.workers.WorkerRegistry;
-import java.util.ArrayList;
-import java.util.BitSet;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
-/** Follows attempts from their commit to their end: runs, kills, reaps, lapses, final states. */
+/**
+ * Follows attempts from the commit of their start to the commit of their end, and jobs to their
+ * final state. Other packages use the lifecycle through this class alone.
+ */
 public final class TaskLifecycle {
-  private static final Logger LOG = LoggerFactory.getLogger(TaskLifecycle.class);
-  private static final long CHECK_MICROS = 250_000;
+  private static final long CHECK_INTERVAL_MICROS = 250_000;
 
-  /** Beyond a lease, what a session may last without an answer that was taken. */
-  private static final long HEARING_MICROS = 3_000_000;
+  /** A worker has timed out after so many heartbeat intervals without a heartbeat. */
+  private static final int TIMEOUT_INTERVALS = 2;
 
-  /** After so many answers that a worker did not get, its tasks are started elsewhere. */
-  private static final int MAX_MISSED = 2;
-
-  private final Settings settings;
   private final Membership membership;
   private final JobRegistry jobs;
   private final SliceRegistry slices;
   private final WorkerRegistry workers;
-  private final TransactionCommitter recordWriter;
-  private final KillDispatcher taskKiller;
-  private final ImageSizes types;
-  private final TaskTracer tracer;
+  private final TransactionCommitter committer;
+  private final KillDispatcher killDispatcher;
+  private final SchedulingRequests scheduling = new SchedulingRequests();
   private final RuntimeEstimates estimates = new RuntimeEstimates();
-  private final SpotReclaims recalledMachines;
-  private final Set<String> finishing = new HashSet<>();
-  private long nowMicros;
-  private long wallMicros;
+  private final AttemptTracker attempts;
+  private final HeartbeatReconciler reconciler;
+  private final FinishedJobs finishedJobs;
+  private final LeaseExpiry leaseExpiry;
+  private final SpotReclaims spotReclaims;
+  private final JobCompletion completion;
+  private final long heartbeatTimeoutMicros;
   private long nextCheckMicros;
-  private boolean schedulingNeeded;
-
-  /** The image cache's size on a type of machine. */
-  public interface ImageSizes {
-    double cacheGb(String type);
-  }
 
-  /** A scheduler that knows of no attempts yet. */
+  /** A lifecycle that knows of no attempts yet. */
   public TaskLifecycle(
       Settings settings,
       Membership membership,
       JobRegistry jobs,
       SliceRegistry slices,
       WorkerRegistry workers,
-      TransactionCommitter recordWriter,
+      TransactionCommitter committer,
       Outbox outbox,
-      ImageSizes types,
+      ImageCacheSizes imageCacheSizes,
       TaskTracer tracer) {
-    this.tracer = tracer;
-    this.settings = settings;
     this.membership = membership;
     this.jobs = jobs;
     this.slices = slices;
     this.workers = workers;
-    this.recordWriter = recordWriter;
-    this.taskKiller = new KillDispatcher(membership, workers, outbox);
-    this.types = types;
-    this.recalledMachines = new SpotReclaims(membership, jobs, workers, estimates);
+    this.committer = committer;
+    heartbeatTimeoutMicros = TIMEOUT_INTERVALS * settings.workers().heartbeatMicros();
+    killDispatcher = new KillDispatcher(membership, workers, outbox);
+    attempts =
+        new AttemptTracker(
+            membership,
+            jobs,
+            committer,
+            killDispatcher,
+            imageCacheSizes,
+            tracer,
+            estimates,
+            scheduling);
+    reconciler = new HeartbeatReconciler(settings, membership, jobs, attempts);
+    finishedJobs = new FinishedJobs(membership, jobs, slices, committer, attempts);
+    leaseExpiry = new LeaseExpiry(membership, slices, workers, attempts);
+    spotReclaims = new SpotReclaims(membership, jobs, workers, estimates, attempts);
+    completion = new JobCompletion(membership, jobs, slices, committer);
+  }
+
+  /** Requests a scheduling round, since something has changed that may let tasks be placed. */
+  public void requestScheduling() {
+    scheduling.request();
   }
 
-  /** Whether something happened since the last call that may let tasks be placed. */
-  public boolean takeSchedulingNeeded() {
-    boolean was = schedulingNeeded;
-    schedulingNeeded = false;
-    return was;
+  /** Whether a scheduling round is requested. */
+  public boolean isSchedulingNeeded() {
+    return scheduling.requested();
   }
 
-  public boolean isSchedulingNeeded() {
-    return schedulingNeeded;
+  /** Returns whether a scheduling round is requested, and takes the request back. */
+  public boolean takeSchedulingNeeded() {
+    return scheduling.take();
   }
 
+  /** How long tasks run, as learned from those that have completed. */
   public RuntimeEstimates estimates() {
     return estimates;
   }
 
-  public void requestScheduling() {
-    schedulingNeeded = true;
-  }
-
-  /** Repeats kills, finds lapsed leases and jobs that are complete, each when it is time. */
-  public void tick(long now, long wall) {
-    nowMicros = now;
-    wallMicros = wall;
-    taskKiller.tick(now);
-    if (now < nextCheckMicros) {
+  /**
+   * Repeats kills, and finds expired leases and completed jobs, each when it is time.
+   *
+   * @param nowMicros the steady clock
+   * @param wallMicros the time of day
+   */
+  public void tick(long nowMicros, long wallMicros) {
+    attempts.setTime(nowMicros);
+    killDispatcher.tick(nowMicros);
+    if (nowMicros < nextCheckMicros) {
       return;
     }
-    nextCheckMicros = now + CHECK_MICROS;
+    nextCheckMicros = nowMicros + CHECK_INTERVAL_MICROS;
     for (int shard : membership.ownedShards()) {
       if (membership.permits(ControlAction.COMMIT, shard)) {
-        lapses(shard);
-        recalledMachines.drain(shard, now, this::kill);
+        leaseExpiry.check(shard);
+        spotReclaims.drain(shard);
       }
     }
-    finals();
+    completion.check(wallMicros);
   }
 
-  /** Takes a job's change in: what is over is stopped. */
+  /**
+   * A job's record has changed in the cached state; the tasks of a finished job are stopped.
+   *
+   * @param before the job before; null if it is new
+   * @param now the job now; null if its record was deleted
+   */
   public void onJobChange(Job before, Job now) {
-    String id = now != null ? now.id() : before.id();
-    slices.jobChanged(id, now);
-    schedulingNeeded = true;
-    if (now != null && now.active()) {
-      return;
-    }
-    finishing.remove(id);
-    for (Slice s : slices.inShard(id)) {
-      if (membership.ownedShards().contains(s.shard())) {
-        stopAll(s);
-        recordWriter.markDirty(s);
-      }
+    String job = now != null ? now.id() : before.id();
+    slices.jobChanged(job, now);
+    scheduling.request();
+    if (now == null || !now.active()) {
+      completion.onFinished(job);
+      finishedJobs.stop(job);
     }
   }
 
-  /** A part of a shard's record has changed in the copy. */
+  /** A segment of a shard's record has changed in the cached state. */
   public void onSegmentChange(String key) {
-    schedulingNeeded = true;
-    recordWriter.refreshSegment(key);
-  }
-
-  private void stopAll(Slice s) {
-    for (Attempt a : List.copyOf(s.attemptsByTask().values())) {
-      if (!a.committed()) {
-        slices.removeAttempt(a);
-      } else if (!a.closed()) {
-        a.markJobFinished();
-        kill(a, 0);
-      }
-    }
+    scheduling.request();
+    committer.refreshSegment(key);
   }
 
   /**
-   * Another controller has committed that jobs are withdrawn, and our copy may not show it for a
-   * while: what we have of them is stopped at once.
+   * Another controller has committed the cancellation of jobs, which the cached state may not show
+   * for a while: their tasks in owned shards are stopped at once.
    */
   public void onCancelledElsewhere(List<String> ids) {
-    for (String id : ids) {
-      for (Slice s : slices.inShard(id)) {
-        if (membership.ownedShards().contains(s.shard())) {
-          for (Attempt a : s.attemptsByTask().values()) {
-            if (a.committed() && !a.closed()) {
-              a.markJobFinished();
-              kill(a, 0);
-            }
-          }
-        }
-      }
+    for (String job : ids) {
+      finishedJobs.stopCancelledElsewhere(job);
     }
   }
 
-  /** Kills for what a report lists of jobs that are over by the copy. */
-  public List<WorkerCommand> killsForFinishedJobs(Heartbeat report) {
-    List<WorkerCommand> kills = new ArrayList<>();
-    for (Heartbeat.TaskStatus t : report.tasks()) {
-      if (!t.ended() && jobs.isFinished(t.job())) {
-        kills.add(WorkerCommand.Kill.immediately(t.name(), t.attempt()));
-      }
-    }
-    return kills;
+  /** Kills for what a heartbeat lists of jobs that are finished by the cached state. */
+  public List<WorkerCommand> killsForFinishedJobs(Heartbeat heartbeat) {
+    return finishedJobs.kills(heartbeat);
   }
 
-  /** Kills an attempt, by direct commands and again with each report's answer. */
-  public void kill(Attempt a, double graceS) {
-    if (a.requestKill(graceS, nowMicros)) {
-      tracer.killed(a.traceId());
-      LOG.info("kill {} grace {} s term {}", a, graceS, membership.term(a.slice().shard()));
-    }
-    taskKiller.add(a);
+  /**
+   * Kills an attempt, by direct commands and again with the answer to each heartbeat. A further
+   * call changes the grace period.
+   */
+  public void kill(Attempt attempt, double graceSeconds) {
+    attempts.kill(attempt, graceSeconds);
   }
 
-  /** Whether a machine has nothing on it but replicas at work. */
+  /** Whether a worker has nothing on it but running tasks of services, and is not reclaimed. */
   public boolean isSteady(Worker worker) {
     if (worker.reclaimAtMicros() != 0) {
       return false;
     }
-    for (Attempt a : worker.attempts().values()) {
-      Job job = jobs.active(a.slice().job());
+    for (Attempt attempt : worker.attempts().values()) {
+      Job job = jobs.active(attempt.slice().job());
       if (job == null
           || job.spec().shape() != Shape.SERVICE
-          || a.closed()
-          || a.killRequested()
-          || a.observedPhase() != Attempt.ObservedPhase.RUNNING) {
+          || attempt.closed()
+          || attempt.killRequested()
+          || attempt.observedPhase() != Attempt.ObservedPhase.RUNNING) {
         return false;
       }
     }
     return true;
   }
 
-  /** Takes a report in and says what the worker is to do. */
-  public List<WorkerCommand> reconcile(Worker worker, Heartbeat report) {
-    int shard = worker.shard();
-    // A report from before our term may be an old one that was held up on its way. What it lists
-    // as ended has ended; what it leaves out may have been started since.
-    boolean fresh = report.fencingToken() >= membership.term(shard);
-    worker.updateReachability(nowMicros, settings.workers().leaseMicros() + HEARING_MICROS);
-    List<WorkerCommand> reaps = new ArrayList<>();
-    List<WorkerCommand> kills = new ArrayList<>();
-    List<WorkerCommand> runs = new ArrayList<>();
-    Set<String> listed = new HashSet<>();
-    for (Heartbeat.TaskStatus t : report.tasks()) {
-      Attempt a = worker.attempts().get(t.name());
-      boolean ours = a != null && a.number() == t.attempt() && a.slice().shard() == shard;
-      if (ours) {
-        listed.add(t.name());
-      }
-      if (!ours) {
-        if (t.ended()) {
-          reaps.add(new WorkerCommand.Purge(t.name(), t.attempt()));
-        } else {
-          kills.add(WorkerCommand.Kill.immediately(t.name(), t.attempt()));
-        }
-      } else if (a.closed()) {
-        // Given up, and its end not committed yet: it must not go on here meanwhile.
-        if (!t.ended()) {
-          kills.add(WorkerCommand.Kill.immediately(t.name(), t.attempt()));
-        }
-      } else {
-        if (t.ended()) {
-          ended(worker, a, t);
-        } else {
-          seen(worker, a, t);
-          if (!a.killRequested() && jobs.active(a.slice().job()) == null) {
-            // Its job was withdrawn while nobody owned the shard, or before we did.
-            a.markJobFinished();
-            kill(a, 0);
-          }
-          if (a.killRequested()) {
-            kills.add(
-                new WorkerCommand.Kill(t.name(), t.attempt(), a.remainingGraceSeconds(nowMicros)));
-          }
-        }
-      }
-    }
-    for (Attempt a : List.copyOf(worker.attempts().values())) {
-      if (a.slice().shard() != shard || a.closed() || !a.committed() || listed.contains(a.name())) {
-        continue;
-      }
-      boolean wanted = !a.killRequested() && jobs.active(a.slice().job()) != null;
-      if (a.runSentIncarnation() != 0
-          && report.isNewerThan(a.runSentIncarnation(), a.runSentSequence())) {
-        // The answer to that report was taken in before this one was sent, or never will be.
-        a.countUnacknowledgedRun();
-      }
-      if (a.observedPhase() != Attempt.ObservedPhase.NOT_OBSERVED || !wanted) {
-        if (fresh || !a.runSent()) {
-          gone(a, "no longer reported");
-        }
-      } else if (a.unacknowledgedRuns() >= MAX_MISSED && fresh) {
-        // Its reports come, and our answers don't get there: it must not wait here for ever.
-        worker.markUnreachable(nowMicros);
-        gone(a, "never taken up");
-      } else if (membership.permits(ControlAction.SEND_RUN, shard)) {
-        a.markRunSent(report.incarnation(), report.sequence());
-        tracer.runSent(a.traceId());
-        runs.add(new WorkerCommand.Run(a.name(), a.number()));
-      }
-    }
-    List<WorkerCommand> orders = new ArrayList<>(reaps);
-    orders.addAll(kills);
-    orders.addAll(runs);
-    return orders;
+  /** Follows a heartbeat of a worker of an owned shard; returns the commands for the worker. */
+  public List<WorkerCommand> reconcile(Worker worker, Heartbeat heartbeat) {
+    return reconciler.reconcile(worker, heartbeat);
   }
 
-  /** A machine has begun anew: what it doesn't list is gone with its former life. */
-  public void onWorkerRestart(Worker worker, Heartbeat now) {
+  /** A worker has restarted: what its status does not list is lost. */
+  public void onWorkerRestart(Worker worker, Heartbeat status) {
     Set<String> listed = new HashSet<>();
-    now.tasks().forEach(t -> listed.add(t.name()));
-    for (Attempt a : List.copyOf(worker.attempts().values())) {
-      boolean ours = membership.ownedShards().contains(a.slice().shard());
-      if (ours && a.runSent() && a.committed() && !a.closed() && !listed.contains(a.name())) {
-        gone(a, "machine begun anew");
+    status.tasks().forEach(task -> listed.add(task.name()));
+    for (Attempt attempt : List.copyOf(worker.attempts().values())) {
+      if (committedHere(attempt) && attempt.runSent() && !listed.contains(attempt.name())) {
+        attempts.lost(attempt, LossReason.WORKER_RESTARTED);
       }
     }
   }
 
-  private void seen(Worker worker, Attempt a, Heartbeat.TaskStatus status) {
-    Attempt.ObservedPhase before = a.observedPhase();
-    if (a.observedPhase() == Attempt.ObservedPhase.NOT_OBSERVED && a.runSentIncarnation() != 0) {
-      worker.markReachable();
-    }
-    a.observe(observedPhase(status.phase()), nowMicros);
-    if (a.observedPhase() != before) {
-      tracer.phaseObserved(a.traceId(), status.phaseText());
-    }
-    Job job = jobs.active(a.slice().job());
-    if (a.observedPhase() != Attempt.ObservedPhase.FETCHING && job != null) {
-      worker.cacheImage(job.spec().image(), job.spec().imageGb(), types.cacheGb(worker.type()));
-    }
-  }
-
-  private static Attempt.ObservedPhase observedPhase(TaskPhase phase) {
-    return switch (phase) {
-      case FETCHING -> Attempt.ObservedPhase.FETCHING;
-      case WAITING -> Attempt.ObservedPhase.WAITING;
-      case SAVING -> Attempt.ObservedPhase.SAVING;
-      default -> Attempt.ObservedPhase.RUNNING;
-    };
-  }
-
-  private void ended(Worker worker, Attempt a, Heartbeat.TaskStatus status) {
-    String cause = status.causeText();
-    LOG.info("ended {}: {}", a, cause);
-    tracer.ended(a.traceId(), cause);
-    Slice s = a.slice();
-    switch (status.cause()) {
-      case SUCCEEDED -> {
-        a.markSucceeded();
-        Job job = jobs.active(s.job());
-        s.markDone(a.task(), job);
-        if (job != null && a.runningSinceMicros() != 0 && !a.recovered()) {
-          estimates.recordRun(job.spec(), nowMicros - a.runningSinceMicros());
-        }
-        s.resetFailures();
-        worker.resetFailures();
-      }
-      case FAILED -> failed(worker, s);
-      case INSUFFICIENT_RESOURCES, TASK_ALREADY_PRESENT ->
-          worker.quarantineUntil(nowMicros + 2_000_000);
-      case UNKNOWN_TASK -> s.backOffUntil(nowMicros + 3_000_000);
-      default -> {}
-    }
-    close(a);
-  }
-
-  private void failed(Worker worker, Slice s) {
-    int sliceFailures = s.countFailure();
-    s.backOffUntil(nowMicros + Math.min(60_000_000L, 500_000L << Math.min(7, sliceFailures)));
-    int workerFailures = worker.countFailure(s.job());
-    worker.quarantineUntil(nowMicros + Math.min(30_000_000L, 1_000_000L << workerFailures));
-  }
-
-  private void gone(Attempt a, String why) {
-    LOG.info("gone {}: {}", a, why);
-    tracer.ended(a.traceId(), why);
-    close(a);
-  }
-
-  private void close(Attempt a) {
-    a.close();
-    Slice s = a.slice();
-    s.invalidateCounts();
-    Job job = jobs.active(s.job());
-    if (job != null && job.spec().shape() == Shape.GANG && !a.succeeded()) {
-      for (Attempt other : s.attemptsByTask().values()) {
-        if (!other.closed() && !other.killRequested()) {
-          kill(other, 0);
-        }
-      }
-    }
-    recordWriter.markDirty(s);
-    schedulingNeeded = true;
-  }
-
-  /** A machine was released or its lease has surely lapsed: nothing is on it any more. */
+  /** The cloud has confirmed the release of a machine: nothing is on it any more. */
   public void onWorkerReleased(String host) {
-    Worker w = workers.get(host);
-    if (w == null) {
+    Worker worker = workers.get(host);
+    if (worker == null) {
       return;
     }
-    for (Attempt a : List.copyOf(w.attempts().values())) {
-      if (!a.closed() && a.committed() && membership.ownedShards().contains(a.slice().shard())) {
-        gone(a, "machine released");
+    for (Attempt attempt : List.copyOf(worker.attempts().values())) {
+      if (committedHere(attempt)) {
+        attempts.lost(attempt, LossReason.WORKER_RELEASED);
       }
     }
   }
 
-  private void lapses(int shard) {
-    long caredUntil = membership.delegatedUntilMicros(shard);
-    long lease = membership.times().expiredAfterMicros();
-    for (Slice s : List.copyOf(slices.inShard(shard))) {
-      for (Attempt a : List.copyOf(s.attemptsByTask().values())) {
-        if (a.closed() || !a.committed()) {
-          continue;
-        }
-        Worker w = workers.get(a.host());
-        if (w == null || !w.registered()) {
-          // The key goes only after the cloud has confirmed the release.
-          gone(a, "machine released");
-          continue;
-        }
-        // An attempt younger than a lease can't have lapsed: on a new machine, whose first report
-        // waits for its answer, nothing has been answered yet.
-        long since =
-            Math.max(
-                Math.max(w.answeredMicros(), a.decidedMicros()),
-                membership.ownedSinceMicros(shard));
-        if (nowMicros - Math.max(since, caredUntil) > lease) {
-          a.expireLease(membership.delegationRevision(shard));
-          gone(a, "lease lapsed");
-        }
-      }
-    }
+  private boolean committedHere(Attempt attempt) {
+    return attempt.committed()
+        && !attempt.closed()
+        && membership.ownedShards().contains(attempt.slice().shard());
   }
 
-  /** Whether most of a shard's workers that have reported here have ceased to. */
+  /**
+   * Whether more than half of a shard's workers with a session here have timed out. A worker has a
+   * session once a heartbeat of its has been admitted since the shard was acquired; workers that
+   * have sent none count on neither side, and without any session the answer is false.
+   */
   public boolean mostWorkersTimedOut(int shard) {
-    int all = 0;
-    int silent = 0;
-    for (Worker w : workers.inShard(shard)) {
-      if (w.heartbeat() != null) {
-        all++;
-        silent +=
-            nowMicros - w.heartbeatMicros() > 2 * settings.workers().heartbeatMicros() ? 1 : 0;
-      }
-    }
-    return silent * 2 > all;
-  }
-
-  /** Marks jobs done whose every task is done in committed records. */
-  private void finals() {
-    for (Job job : List.copyOf(jobs.active())) {
-      if (mayFinish(job) && savedDone(job).cardinality() >= job.tasks()) {
-        finish(job, Job.done(job.tasks(), wallMicros), "done");
-      }
-    }
-    for (Job job : jobs.cancelledByDependency()) {
-      if (mayFinish(job)) {
-        finish(job, Job.cancelled(job.tasks()), "withdrawn with one that it needs");
+    int sessions = 0;
+    int timedOut = 0;
+    for (Worker worker : workers.inShard(shard)) {
+      if (worker.heartbeat() != null) {
+        sessions++;
+        if (attempts.nowMicros() - worker.heartbeatMicros() > heartbeatTimeoutMicros) {
+          timedOut++;
+        }
       }
     }
+    return timedOut * 2 > sessions;
   }
 
-  private boolean mayFinish(Job job) {
-    return membership.permits(ControlAction.COMMIT, job.home()) && !finishing.contains(job.id());
-  }
-
-  /** Commits a job's final record. */
-  private void finish(Job job, Map<String, Object> record, String how) {
-    finishing.add(job.id());
-    String key = Job.key(job.id());
-    recordWriter.submit(
-        new TransactionCommitter.KeyMutation(
-            job.home(),
-            Mutation.put(key, record),
-            Map.of(key, job.modRevision()),
-            ok -> {
-              finishing.remove(job.id());
-              if (ok) {
-                LOG.info("job {} {}", job.id(), how);
-              }
-            }));
-  }
-
-  /** The tasks that are done by committed records: each counts once, whoever has it. */
-  private BitSet savedDone(Job job) {
-    BitSet done = new BitSet();
-    slices.inShard(job.id()).forEach(s -> done.or(s.committedDone()));
-    return done;
-  }
-
-  /** Done tasks and tasks handed out, for display. */
+  /** How far a job has come, for display. */
   public TaskCounts taskCounts(Job job) {
-    int running = 0;
-    for (Slice s : slices.inShard(job.id())) {
-      running += s.liveCount();
-    }
-    return new TaskCounts(savedDone(job).cardinality(), running);
+    return completion.taskCounts(job);
   }
 }
