--- a/src/main/java/gladeknot/lifecycle/FinishedJobs.java
+++ b/src/main/java/gladeknot/lifecycle/FinishedJobs.java
@@ -36,7 +36,7 @@
    * Stops the attempts of a job whose final state is committed, and removes starts not committed.
    */
   void stop(String job) {
-    for (Slice slice : slices.inShard(job)) {
+    for (Slice slice : slices.ofJob(job)) {
       if (owned(slice)) {
         stop(slice);
         committer.markDirty(slice);
@@ -59,7 +59,7 @@
    * cached state may still show as active.
    */
   void stopCancelledElsewhere(String job) {
-    for (Slice slice : slices.inShard(job)) {
+    for (Slice slice : slices.ofJob(job)) {
       if (owned(slice)) {
         stopCommitted(slice);
       }
--- a/src/main/java/gladeknot/lifecycle/JobCompletion.java
+++ b/src/main/java/gladeknot/lifecycle/JobCompletion.java
@@ -1,12 +1,14 @@
 package gladeknot.lifecycle;
 
+import gladeknot.commit.KeyMutation;
 import gladeknot.commit.TransactionCommitter;
 import gladeknot.connectivity.ControlAction;
 import gladeknot.jobs.Job;
+import gladeknot.jobs.JobRecordCodec;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.TaskCounts;
 import gladeknot.membership.Membership;
-import gladeknot.state.StateStore.Mutation;
+import gladeknot.state.Mutation;
 import gladeknot.tasks.Slice;
 import gladeknot.tasks.SliceRegistry;
 import java.util.BitSet;
@@ -46,12 +48,15 @@
   void check(long wallMicros) {
     for (Job job : List.copyOf(jobs.active())) {
       if (mayFinish(job) && committedDone(job).cardinality() >= job.tasks()) {
-        finish(job, Job.done(job.tasks(), wallMicros), "job done id={}");
+        finish(job, JobRecordCodec.encodeDone(job.tasks(), wallMicros), "job done id={}");
       }
     }
     for (Job job : jobs.cancelledByDependency()) {
       if (mayFinish(job)) {
-        finish(job, Job.cancelled(job.tasks()), "job cancelled id={} reason=dependency_cancelled");
+        finish(
+            job,
+            JobRecordCodec.encodeCancelled(job.tasks()),
+            "job cancelled id={} reason=dependency_cancelled");
       }
     }
   }
@@ -64,7 +69,7 @@
   /** How far a job has come, for display. */
   TaskCounts taskCounts(Job job) {
     int running = 0;
-    for (Slice slice : slices.inShard(job.id())) {
+    for (Slice slice : slices.ofJob(job.id())) {
       running += slice.liveCount();
     }
     return new TaskCounts(committedDone(job).cardinality(), running);
@@ -78,7 +83,7 @@
     finishing.add(job.id());
     String key = Job.key(job.id());
     committer.submit(
-        new TransactionCommitter.KeyMutation(
+        new KeyMutation(
             job.home(),
             Mutation.put(key, finalRecord),
             Map.of(key, job.modRevision()),
@@ -93,7 +98,7 @@
   /** The tasks that are done by committed records: each counts once, whichever slices have it. */
   private BitSet committedDone(Job job) {
     BitSet done = new BitSet();
-    slices.inShard(job.id()).forEach(slice -> done.or(slice.committedDone()));
+    slices.ofJob(job.id()).forEach(slice -> done.or(slice.committedDone()));
     return done;
   }
 }
--- a/src/main/java/gladeknot/lifecycle/SpotReclaims.java
+++ b/src/main/java/gladeknot/lifecycle/SpotReclaims.java
@@ -6,6 +6,7 @@
 import gladeknot.membership.Membership;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.RuntimeEstimates;
+import gladeknot.tasks.TerminationGrace;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
 import java.util.List;
@@ -84,7 +85,7 @@
 
   /** A gang is stopped as a whole: its progress is saved only if all its tasks are stopped. */
   private void stop(Attempt attempt, JobSpec spec) {
-    double graceSeconds = GracePeriod.seconds(spec);
+    double graceSeconds = TerminationGrace.seconds(spec);
     if (spec.shape() != JobSpec.Shape.GANG) {
       attempts.kill(attempt, graceSeconds);
       return;
--- a/src/main/java/gladeknot/workers/WorkerRegistry.java
+++ b/src/main/java/gladeknot/workers/WorkerRegistry.java
@@ -1,7 +1,8 @@
 package gladeknot.workers;
 
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import gladeknot.tasks.Attempt;
+import gladeknot.tasks.HostDirectory;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,7 +13,7 @@
 /**
  * All machines by name: those that the state store has, and those that attempts are assigned to.
  */
-public final class WorkerRegistry {
+public final class WorkerRegistry implements HostDirectory {
   private final Map<String, Worker> workers = new LinkedHashMap<>();
   private final Map<Integer, Map<String, Worker>> byShard = new HashMap<>();
   private final Set<String> released = new HashSet<>();
@@ -38,7 +39,7 @@
   }
 
   /** Follows a change of a key that holds machines. */
-  public void onChange(String key, StateStore.Entry before, StateStore.Entry now) {
+  public void onChange(String key, Entry before, Entry now) {
     Map<String, Object> old = before == null ? Map.of() : before.data();
     Map<String, Object> data = now == null ? Map.of() : now.data();
     data.forEach(
@@ -90,12 +91,18 @@
     }
   }
 
-  /** Assigns an attempt to its machine, which need not be registered. */
+  @Override
+  public String zone(String host) {
+    Worker worker = workers.get(host);
+    return worker == null ? null : worker.zone();
+  }
+
+  @Override
   public void attach(Attempt attempt) {
     workers.computeIfAbsent(attempt.host(), Worker::new).attempts().put(attempt.name(), attempt);
   }
 
-  /** Removes an attempt from its machine. */
+  @Override
   public void detach(Attempt attempt) {
     Worker worker = workers.get(attempt.host());
     if (worker != null) {
--- a/src/test/java/gladeknot/workers/WorkerRegistryTest.java
+++ b/src/test/java/gladeknot/workers/WorkerRegistryTest.java
@@ -7,7 +7,7 @@
 
 import gladeknot.json.InvalidFieldException;
 import gladeknot.json.Json;
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -20,8 +20,8 @@
     return WorkerRecordCodec.encode(new WorkerRecord(shard, "small", "a", true, 5, false));
   }
 
-  private static StateStore.Entry entry(Object... fields) {
-    return new StateStore.Entry(Json.of(fields), 1);
+  private static Entry entry(Object... fields) {
+    return new Entry(Json.of(fields), 1);
   }
 
   @Test
@@ -37,7 +37,7 @@
   @Test
   void aMachineMovesAndItsSessionIsForgotten() throws InvalidFieldException {
     WorkerRegistry book = new WorkerRegistry();
-    StateStore.Entry first = entry("1", record(0), "2", record(0));
+    Entry first = entry("1", record(0), "2", record(0));
     book.onChange(KEY, null, first);
     Worker w = book.get("vm-000231");
     w.onHeartbeat(report(1, 4, 7), 100);
@@ -51,7 +51,7 @@
   @Test
   void whatWasGivenBackStaysKnownAsThat() {
     WorkerRegistry book = new WorkerRegistry();
-    StateStore.Entry first = entry("1", record(0));
+    Entry first = entry("1", record(0));
     book.onChange(KEY, null, first);
     book.onChange(KEY, first, entry("1", WorkerRecordCodec.RELEASED));
     assertNull(book.get("vm-000231"));
