--- a/src/main/java/gladeknot/workers/CommandCodec.java
+++ b/src/main/java/gladeknot/workers/CommandCodec.java
@@ -12,6 +12,13 @@
   private static final String INCARNATION = "tenure";
   private static final String COMMANDS = "orders";
   private static final String REDIRECT = "foreman";
+  private static final String VERB = "verb";
+  private static final String TASK = "strand";
+  private static final String ATTEMPT = "try";
+  private static final String GRACE_SECONDS = "windDownS";
+  private static final String RUN = "run";
+  private static final String KILL = "kill";
+  private static final String PURGE = "reap";
 
   private CommandCodec() {}
 
@@ -42,19 +49,19 @@
 
   private static Map<String, Object> encode(WorkerCommand command) {
     Map<String, Object> encoded = new LinkedHashMap<>();
-    encoded.put("verb", verb(command));
-    encoded.put("strand", command.task());
-    encoded.put("try", command.attempt());
+    encoded.put(VERB, verb(command));
+    encoded.put(TASK, command.task());
+    encoded.put(ATTEMPT, command.attempt());
     if (command instanceof WorkerCommand.Kill kill) {
-      encoded.put("windDownS", kill.graceSeconds());
+      encoded.put(GRACE_SECONDS, kill.graceSeconds());
     }
     return encoded;
   }
 
   private static String verb(WorkerCommand command) {
     if (command instanceof WorkerCommand.Run) {
-      return "run";
+      return RUN;
     }
-    return command instanceof WorkerCommand.Kill ? "kill" : "reap";
+    return command instanceof WorkerCommand.Kill ? KILL : PURGE;
   }
 }
--- a/src/main/java/gladeknot/workers/HeartbeatCodec.java
+++ b/src/main/java/gladeknot/workers/HeartbeatCodec.java
@@ -1,8 +1,6 @@
 package gladeknot.workers;
 
-import gladeknot.json.InvalidFieldException;
 import gladeknot.json.Json;
-import gladeknot.json.StrictFields;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -15,14 +13,12 @@
   private static final String TASKS = "strands";
   private static final String TASK = "strand";
   private static final Pattern TASK_NUMBER = Pattern.compile("[0-9]{1,6}");
-  private static final String TEXT = "missing, or not a text";
-  private static final String WHOLE_NUMBER = "must be a whole number";
   private static final double NO_NOTICE = -1;
 
   private HeartbeatCodec() {}
 
   /** Reads a heartbeat; fails on the first field that breaks the form. */
-  public static Heartbeat read(Map<String, Object> message) throws InvalidFieldException {
+  public static Heartbeat read(Map<String, Object> message) throws MalformedHeartbeatException {
     List<Heartbeat.TaskStatus> tasks = tasks(message);
     return new Heartbeat(
         text(message, "host"),
@@ -48,10 +44,10 @@
   }
 
   private static List<Heartbeat.TaskStatus> tasks(Map<String, Object> message)
-      throws InvalidFieldException {
+      throws MalformedHeartbeatException {
     Object listed = message.get(TASKS);
     if (listed != null && !(listed instanceof List)) {
-      throw new InvalidFieldException(TASKS, "must be a list");
+      throw malformed(TASKS, "must be a list");
     }
     List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
     for (Map<String, Object> task : Json.objects(message, TASKS)) {
@@ -60,11 +56,12 @@
     return tasks;
   }
 
-  private static Heartbeat.TaskStatus task(Map<String, Object> task) throws InvalidFieldException {
+  private static Heartbeat.TaskStatus task(Map<String, Object> task)
+      throws MalformedHeartbeatException {
     String name = text(task, TASK);
     int slash = name.lastIndexOf('/');
     if (slash < 1 || !TASK_NUMBER.matcher(name.substring(slash + 1)).matches()) {
-      throw new InvalidFieldException(TASK, "must be job/number");
+      throw malformed(TASK, "must be job/number");
     }
     long attempt = wholeNumber(task, "try");
     String phase = text(task, "phase");
@@ -95,12 +92,26 @@
     };
   }
 
-  private static String text(Map<String, Object> object, String name) throws InvalidFieldException {
-    return StrictFields.text(object, name, TEXT);
+  private static String text(Map<String, Object> object, String name)
+      throws MalformedHeartbeatException {
+    String value = Json.text(object, name);
+    if (value == null || value.isEmpty()) {
+      throw malformed(name, "missing, or not a text");
+    }
+    return value;
   }
 
   private static long wholeNumber(Map<String, Object> object, String name)
-      throws InvalidFieldException {
-    return StrictFields.wholeNumber(object, name, WHOLE_NUMBER);
+      throws MalformedHeartbeatException {
+    if (!(object.get(name) instanceof Number number)
+        || number instanceof Double
+        || number.longValue() < 0) {
+      throw malformed(name, "must be a whole number");
+    }
+    return number.longValue();
+  }
+
+  private static MalformedHeartbeatException malformed(String name, String fault) {
+    return new MalformedHeartbeatException(name + ": " + fault);
   }
 }
--- a/src/main/java/gladeknot/workers/HeartbeatHandler.java
+++ b/src/main/java/gladeknot/workers/HeartbeatHandler.java
@@ -2,7 +2,6 @@
 
 import gladeknot.connectivity.ControlAction;
 import gladeknot.connectivity.HeartbeatObserver;
-import gladeknot.json.InvalidFieldException;
 import gladeknot.json.Json;
 import gladeknot.membership.Membership;
 import gladeknot.outbox.Outbox;
@@ -97,7 +96,7 @@
     } catch (IOException e) {
       answers.malformed(request, "body: not a JSON object");
       return;
-    } catch (InvalidFieldException e) {
+    } catch (MalformedHeartbeatException e) {
       answers.malformed(request, e.getMessage());
       return;
     }
--- a/src/main/java/gladeknot/workers/RestartProbe.java
+++ b/src/main/java/gladeknot/workers/RestartProbe.java
@@ -1,7 +1,6 @@
 package gladeknot.workers;
 
 import gladeknot.connectivity.ControlAction;
-import gladeknot.json.InvalidFieldException;
 import gladeknot.membership.Membership;
 import gladeknot.outbox.Outbox;
 import org.slf4j.Logger;
@@ -57,7 +56,7 @@
           && last.isNewerThan(status.incarnation(), status.sequence())) {
         onRestart(worker, status);
       }
-    } catch (InvalidFieldException e) {
+    } catch (MalformedHeartbeatException e) {
       LOG.info("worker status rejected worker={} error={}", worker.host(), e.getMessage());
     }
   }
--- a/src/test/java/gladeknot/workers/HeartbeatCodecTest.java
+++ b/src/test/java/gladeknot/workers/HeartbeatCodecTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gladeknot.json.InvalidFieldException;
 import gladeknot.json.Json;
 import java.util.List;
 import java.util.Map;
@@ -43,19 +42,19 @@
     return message;
   }
 
-  private static Heartbeat.TaskStatus task(Object... fields) throws InvalidFieldException {
+  private static Heartbeat.TaskStatus task(Object... fields) throws MalformedHeartbeatException {
     Map<String, Object> task = Json.of("strand", "req-000412/3", "try", 2, "phase", "running");
     task.putAll(Json.of(fields));
     return HeartbeatCodec.read(message("strands", List.of(task))).tasks().get(0);
   }
 
   private static String problem(Map<String, Object> message) {
-    return assertThrows(InvalidFieldException.class, () -> HeartbeatCodec.read(message))
+    return assertThrows(MalformedHeartbeatException.class, () -> HeartbeatCodec.read(message))
         .getMessage();
   }
 
   @Test
-  void readsEachField() throws InvalidFieldException {
+  void readsEachField() throws MalformedHeartbeatException {
     assertEquals(
         new Heartbeat(
             "vm-000231",
@@ -72,7 +71,7 @@
   }
 
   @Test
-  void aNoticeIsPresentFromZeroSecondsOn() throws InvalidFieldException {
+  void aNoticeIsPresentFromZeroSecondsOn() throws MalformedHeartbeatException {
     assertEquals(
         OptionalDouble.of(0), HeartbeatCodec.read(message("recallS", 0)).reclaimInSeconds());
     assertEquals(
@@ -89,7 +88,7 @@
     "ended, ENDED",
     "dreaming, RUNNING",
   })
-  void phasesKeepTheirWord(String word, TaskPhase phase) throws InvalidFieldException {
+  void phasesKeepTheirWord(String word, TaskPhase phase) throws MalformedHeartbeatException {
     Heartbeat.TaskStatus status = task("phase", word);
     assertEquals(phase, status.phase());
     assertEquals(word, status.phaseText());
@@ -108,14 +107,14 @@
     "incomplete, OTHER",
     "whim, OTHER",
   })
-  void causesKeepTheirWord(String word, EndCause cause) throws InvalidFieldException {
+  void causesKeepTheirWord(String word, EndCause cause) throws MalformedHeartbeatException {
     Heartbeat.TaskStatus status = task("phase", "ended", "cause", word);
     assertEquals(cause, status.cause());
     assertEquals(word, status.causeText());
   }
 
   @Test
-  void aTaskNamesItsJobAndMayHaveNoCause() throws InvalidFieldException {
+  void aTaskNamesItsJobAndMayHaveNoCause() throws MalformedHeartbeatException {
     Heartbeat.TaskStatus status = task();
     assertEquals("req-000412", status.job());
     assertEquals(2, status.attempt());
@@ -141,7 +140,7 @@
   }
 
   @Test
-  void tasksMustBeAListOfTasks() throws InvalidFieldException {
+  void tasksMustBeAListOfTasks() throws MalformedHeartbeatException {
     assertEquals("strands: must be a list", problem(message("strands", "none")));
     assertEquals(List.of(), HeartbeatCodec.read(message("strands", null)).tasks());
     for (String name : List.of("req-1", "/3", "req-1/", "req-1/x", "req-1/1234567")) {
--- a/src/test/java/gladeknot/workers/WorkerRegistryTest.java
+++ b/src/test/java/gladeknot/workers/WorkerRegistryTest.java
@@ -5,14 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gladeknot.json.InvalidFieldException;
 import gladeknot.json.Json;
 import gladeknot.state.Entry;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Machines by their keys: entered, moved to another shard, given back for good. */
+/** Machines by their keys: registered, transferred to another shard, released for good. */
 class WorkerRegistryTest {
   private static final String KEY = WorkerRecordCodec.key("vm-000231");
 
@@ -25,7 +24,7 @@
   }
 
   @Test
-  void namesInARowShareAKeyAndComeBackFromIt() {
+  void consecutiveNamesShareAKeyAndAreReadBackFromIt() {
     for (String host : List.of("vm-000230", "vm-000239", "vm-00023x")) {
       assertEquals(KEY, WorkerRecordCodec.key(host));
       assertEquals(
@@ -35,29 +34,29 @@
   }
 
   @Test
-  void aMachineMovesAndItsSessionIsForgotten() throws InvalidFieldException {
-    WorkerRegistry book = new WorkerRegistry();
+  void aTransferToAnotherShardResetsTheSession() throws MalformedHeartbeatException {
+    WorkerRegistry registry = new WorkerRegistry();
     Entry first = entry("1", record(0), "2", record(0));
-    book.onChange(KEY, null, first);
-    Worker w = book.get("vm-000231");
-    w.onHeartbeat(report(1, 4, 7), 100);
-    book.onChange(KEY, first, entry("1", record(2), "2", record(0)));
-    assertEquals(2, w.shard());
-    assertNull(w.heartbeat());
-    assertEquals(List.of(w), List.copyOf(book.inShard(2)));
-    assertEquals(1, book.inShard(0).size());
+    registry.onChange(KEY, null, first);
+    Worker worker = registry.get("vm-000231");
+    worker.onHeartbeat(heartbeat(1, 4, 7), 100);
+    registry.onChange(KEY, first, entry("1", record(2), "2", record(0)));
+    assertEquals(2, worker.shard());
+    assertNull(worker.heartbeat());
+    assertEquals(List.of(worker), List.copyOf(registry.inShard(2)));
+    assertEquals(1, registry.inShard(0).size());
   }
 
   @Test
-  void whatWasGivenBackStaysKnownAsThat() {
-    WorkerRegistry book = new WorkerRegistry();
+  void releasedMachinesStayKnownAsReleased() {
+    WorkerRegistry registry = new WorkerRegistry();
     Entry first = entry("1", record(0));
-    book.onChange(KEY, null, first);
-    book.onChange(KEY, first, entry("1", WorkerRecordCodec.RELEASED));
-    assertNull(book.get("vm-000231"));
-    assertTrue(book.inShard(0).isEmpty());
-    assertTrue(book.wasReleased("vm-000231"));
-    assertFalse(book.wasReleased("vm-000232"));
+    registry.onChange(KEY, null, first);
+    registry.onChange(KEY, first, entry("1", WorkerRecordCodec.RELEASED));
+    assertNull(registry.get("vm-000231"));
+    assertTrue(registry.inShard(0).isEmpty());
+    assertTrue(registry.wasReleased("vm-000231"));
+    assertFalse(registry.wasReleased("vm-000232"));
   }
 
   /**
@@ -65,45 +64,46 @@
    * answer that did not must not keep a task from being started elsewhere.
    */
   @Test
-  void anAnswerThatWasLostDoesNotCount() throws InvalidFieldException {
-    WorkerRegistry book = new WorkerRegistry();
-    book.onChange(KEY, null, entry("1", record(0)));
-    Worker w = book.get("vm-000231");
-    long never = w.answeredMicros();
-    w.onHeartbeat(report(1, 1, 0), 1_000);
-    w.onAnswered(1_100, 9);
-    assertEquals(1_100, w.answeredMicros());
-    w.onHeartbeat(report(1, 2, 0), 5_000);
-    assertEquals(never, w.answeredMicros());
-    w.onAnswered(5_100, 9);
-    w.onHeartbeat(report(1, 3, 9), 7_000);
-    assertEquals(5_100, w.answeredMicros());
+  void anAnswerThatWasLostRenewsNoLease() throws MalformedHeartbeatException {
+    WorkerRegistry registry = new WorkerRegistry();
+    registry.onChange(KEY, null, entry("1", record(0)));
+    Worker worker = registry.get("vm-000231");
+    long never = worker.answeredMicros();
+    worker.onHeartbeat(heartbeat(1, 1, 0), 1_000);
+    worker.onAnswered(1_100, 9);
+    assertEquals(1_100, worker.answeredMicros());
+    worker.onHeartbeat(heartbeat(1, 2, 0), 5_000);
+    assertEquals(never, worker.answeredMicros());
+    worker.onAnswered(5_100, 9);
+    worker.onHeartbeat(heartbeat(1, 3, 9), 7_000);
+    assertEquals(5_100, worker.answeredMicros());
     // Under a higher term nothing is known of the older answer but that it was good in its time.
-    w.onAnswered(7_100, 12);
-    w.onHeartbeat(report(1, 4, 9), 9_000);
-    assertEquals(5_100, w.answeredMicros());
+    worker.onAnswered(7_100, 12);
+    worker.onHeartbeat(heartbeat(1, 4, 9), 9_000);
+    assertEquals(5_100, worker.answeredMicros());
   }
 
   @Test
-  void aSessionThatOutlastsALeaseHasBeenAnswered() throws InvalidFieldException {
-    WorkerRegistry book = new WorkerRegistry();
-    book.onChange(KEY, null, entry("1", record(0)));
-    Worker w = book.get("vm-000231");
-    w.onHeartbeat(report(3, 1, 9), 0);
-    w.markUnreachable(0);
-    w.onHeartbeat(report(3, 2, 9), 10);
-    w.updateReachability(10, 50);
-    assertTrue(w.unreachable() && !w.confirmedUnreachable());
-    w.onHeartbeat(report(3, 3, 9), 60);
-    w.updateReachability(60, 50);
-    assertFalse(w.unreachable());
-    w.markUnreachable(60);
-    w.onHeartbeat(report(4, 4, 9), 80);
-    w.updateReachability(80, 50);
-    assertTrue(w.confirmedUnreachable());
+  void anIncarnationThatOutlastsALeaseHasBeenAnswered() throws MalformedHeartbeatException {
+    WorkerRegistry registry = new WorkerRegistry();
+    registry.onChange(KEY, null, entry("1", record(0)));
+    Worker worker = registry.get("vm-000231");
+    worker.onHeartbeat(heartbeat(3, 1, 9), 0);
+    worker.markUnreachable(0);
+    worker.onHeartbeat(heartbeat(3, 2, 9), 10);
+    worker.updateReachability(10, 50);
+    assertTrue(worker.unreachable() && !worker.confirmedUnreachable());
+    worker.onHeartbeat(heartbeat(3, 3, 9), 60);
+    worker.updateReachability(60, 50);
+    assertFalse(worker.unreachable());
+    worker.markUnreachable(60);
+    worker.onHeartbeat(heartbeat(4, 4, 9), 80);
+    worker.updateReachability(80, 50);
+    assertTrue(worker.confirmedUnreachable());
   }
 
-  private static Heartbeat report(long tenure, long tick, long token) throws InvalidFieldException {
+  private static Heartbeat heartbeat(long incarnation, long sequence, long fencingToken)
+      throws MalformedHeartbeatException {
     return HeartbeatCodec.read(
         Map.of(
             "host",
@@ -115,11 +115,11 @@
             "glade",
             "a",
             "tenure",
-            tenure,
+            incarnation,
             "tick",
-            tick,
+            sequence,
             "fence",
-            token,
+            fencingToken,
             "strands",
             List.of()));
   }
