--- a/src/main/java/gladeknot/app/CachedShardView.java
+++ b/src/main/java/gladeknot/app/CachedShardView.java
@@ -30,7 +30,7 @@
 
   @Override
   public String owner(int shard) {
-    return membership.owner(shard);
+    return membership.owner(shard).orElse(null);
   }
 
   @Override
--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -297,7 +297,7 @@
   }
 
   /** What the other parts do when shards change hands. */
-  private final class ShardListener implements Membership.Listener {
+  private final class ShardListener implements gladeknot.membership.ShardListener {
     @Override
     public void onAcquired(int shard) {
       shardGained(shard);
--- a/src/main/java/gladeknot/fleet/Fleet.java
+++ b/src/main/java/gladeknot/fleet/Fleet.java
@@ -678,7 +678,7 @@
   private int least(long[] cpus) {
     int least = membership.homeShard();
     for (int shard = 0; shard < cpus.length; shard++) {
-      if (membership.liveOwner(shard) != null && cpus[shard] < cpus[least]) {
+      if (membership.liveOwner(shard).isPresent() && cpus[shard] < cpus[least]) {
         least = shard;
       }
     }
--- a/src/main/java/gladeknot/membership/LeaseDelegations.java
+++ b/src/main/java/gladeknot/membership/LeaseDelegations.java
@@ -1,137 +1,148 @@
 package gladeknot.membership;
 
-import gladeknot.json.Json;
 import gladeknot.settings.Settings;
+import gladeknot.state.CommitOutcome;
 import gladeknot.state.CommitStatus;
 import gladeknot.state.Entry;
 import gladeknot.state.Mutation;
 import gladeknot.state.StateStore;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Entries in the state service by which a controller that a shard's workers can reach renews their
- * leases for a while in the owner's place.
+ * Stored delegations by which a controller that a shard's workers can reach renews their leases for
+ * a limited time in the owner's place.
  */
 final class LeaseDelegations {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseDelegations.class);
 
-  private static final String KEYS = StateStore.ROOT + "care/";
-  private static final String FIELD_DELEGATE = "by";
-  private static final String FIELD_TERM = "term";
+  /** How many delegations one controller enters for one term. */
+  private static final int MAX_ENTRIES_PER_TERM = 2;
 
-  /** How many such entries one controller makes for one term. */
-  private static final int MAX_ENTRIES = 2;
+  /** As the owner: the newest delegation that was observed, and when it has surely expired. */
+  private static final class Observed {
+    private long revision;
+    private long untilMicros;
+  }
+
+  /** As the delegate: the term of this controller's entries, their number, and their end. */
+  private static final class Own {
+    private long term;
+    private int entries;
+    private long untilMicros;
+  }
 
-  private final Settings settings;
+  private final String node;
   private final StateStore stateStore;
+  private final ShardTable table;
   private final LeaseTimes times;
-
-  /** By shard: as its owner, the newest entry seen and until when it is reckoned with. */
-  private final long[] seenStamp;
-
-  private final long[] seenUntilMicros;
-
-  /** By shard: as a delegate, the term of our entries, their number and until when they last. */
-  private final long[] ownTerm;
-
-  private final int[] ownEntries;
-  private final long[] ownUntilMicros;
+  private final Observed[] observed;
+  private final Own[] own;
   private long nowMicros;
 
-  LeaseDelegations(Settings settings, StateStore stateStore, LeaseTimes times) {
-    this.settings = settings;
+  LeaseDelegations(Settings settings, StateStore stateStore, ShardTable table, LeaseTimes times) {
+    this.node = settings.node();
     this.stateStore = stateStore;
+    this.table = table;
     this.times = times;
-    int shards = settings.nodes().size();
-    this.seenStamp = new long[shards];
-    this.seenUntilMicros = new long[shards];
-    this.ownTerm = new long[shards];
-    this.ownEntries = new int[shards];
-    this.ownUntilMicros = new long[shards];
-  }
-
-  static String key(int shard) {
-    return KEYS + shard;
+    this.observed = new Observed[table.shardCount()];
+    this.own = new Own[table.shardCount()];
+    for (int shard = 0; shard < table.shardCount(); shard++) {
+      observed[shard] = new Observed();
+      own[shard] = new Own();
+    }
   }
 
-  void now(long micros) {
+  void setTime(long micros) {
     nowMicros = micros;
   }
 
-  /** The stamp of the newest entry by which another controller acts as a shard's delegate. */
+  /** The revision of the newest delegation of a shard that was observed; 0 if there is none. */
   long revision(int shard) {
-    return seenStamp[shard];
+    return observed[shard].revision;
   }
 
   /** Until when another controller may renew the leases of a shard's workers. */
   long untilMicros(int shard) {
-    long stamp = stateStore.modRevision(key(shard));
-    if (stamp != seenStamp[shard]) {
-      seenStamp[shard] = stamp;
-      seenUntilMicros[shard] = times.delegatedUntilMicros(nowMicros);
+    long revision = stateStore.modRevision(MembershipKeys.delegation(shard));
+    Observed newest = observed[shard];
+    if (revision != newest.revision) {
+      newest.revision = revision;
+      newest.untilMicros = times.delegatedUntilMicros(nowMicros);
     }
-    return seenUntilMicros[shard];
+    return newest.untilMicros;
   }
 
-  /** Whether an entry of this controller for a shard's present term has not run out. */
+  /** Whether a delegation to this controller for a shard's present term has not expired. */
   boolean holds(int shard, long term) {
-    return ownTerm[shard] == term && nowMicros < ownUntilMicros[shard];
+    return own[shard].term == term && nowMicros < own[shard].untilMicros;
   }
 
-  /** Who is delegate for a shard's present term and alive; null if there is none but ourselves. */
-  String delegate(int shard, long term) {
-    Entry entry = stateStore.get(key(shard));
-    if (entry == null || Json.num(entry.data(), FIELD_TERM, 0) != term) {
-      return null;
+  /** The other node that is the delegate for a shard's present term, if it is alive. */
+  Optional<String> otherDelegate(int shard) {
+    Entry entry = stateStore.get(MembershipKeys.delegation(shard));
+    if (entry == null) {
+      return Optional.empty();
     }
-    String by = Json.text(entry.data(), FIELD_DELEGATE);
-    boolean able = !settings.node().equals(by) && StateLease.isAlive(stateStore, by);
-    return able && untilMicros(shard) > nowMicros ? by : null;
+    DelegationRecord delegation = MembershipCodec.delegation(entry);
+    String delegate = delegation.delegate();
+    boolean usable =
+        delegation.term() == table.term(shard)
+            && !node.equals(delegate)
+            && StateLease.isAlive(stateStore, delegate);
+    return usable && untilMicros(shard) > nowMicros ? Optional.of(delegate) : Optional.empty();
   }
 
-  /** Enters this controller as a shard's delegate, a few times a term at most. */
-  void enter(int shard, long term, Consumer<Boolean> then) {
-    if (ownTerm[shard] != term) {
-      ownTerm[shard] = term;
-      ownEntries[shard] = 0;
-      ownUntilMicros[shard] = 0;
+  /**
+   * Enters this controller as a shard's delegate, a few times for each term at most.
+   *
+   * @param then takes whether the delegation holds for the shard's present term
+   */
+  void enter(int shard, Consumer<Boolean> then) {
+    long term = table.term(shard);
+    Own entry = own[shard];
+    if (entry.term != term) {
+      entry.term = term;
+      entry.entries = 0;
+      entry.untilMicros = 0;
     }
-    if (ownEntries[shard] >= MAX_ENTRIES || !stateStore.tryAcquireWrites(1, 0)) {
+    if (entry.entries >= MAX_ENTRIES_PER_TERM || !stateStore.tryAcquireWrites(1, 0)) {
       then.accept(false);
       return;
     }
-    ownEntries[shard]++;
-    long sent = nowMicros;
-    String shardKey = Membership.shardKey(shard);
-    String aliveKey = StateLease.key(settings.node());
+    entry.entries++;
+    long sentMicros = nowMicros;
+    String liveness = MembershipKeys.liveness(node);
     stateStore.commit(
-        Map.of(
-            shardKey, stateStore.modRevision(shardKey), aliveKey, stateStore.modRevision(aliveKey)),
+        Map.of(table.key(shard), table.revision(shard), liveness, stateStore.modRevision(liveness)),
         List.of(
-            Mutation.put(key(shard), Json.of(FIELD_DELEGATE, settings.node(), FIELD_TERM, term))),
-        outcome -> {
-          boolean done =
-              outcome.status() == CommitStatus.COMMITTED
-                  && term == Membership.term(stateStore, shard);
-          if (done) {
-            LOG.info("cares for the workers of shard {} under term {}", shard, term);
-            ownUntilMicros[shard] = times.delegateUntilMicros(sent);
-          }
-          then.accept(done);
-        });
+            Mutation.put(
+                MembershipKeys.delegation(shard),
+                MembershipCodec.encode(new DelegationRecord(node, term)))),
+        outcome -> then.accept(onEntered(outcome, shard, term, sentMicros)));
+  }
+
+  private boolean onEntered(CommitOutcome outcome, int shard, long term, long sentMicros) {
+    boolean entered = outcome.status() == CommitStatus.COMMITTED && term == table.term(shard);
+    if (entered) {
+      LOG.info("lease delegation entered shard={} term={} delegate={}", shard, term, node);
+      own[shard].untilMicros = times.delegateUntilMicros(sentMicros);
+    }
+    return entered;
   }
 
   /**
-   * The shard has become ours, and what was entered for it is over. Returns whether its workers
-   * were served by us in its former owner's place within the given time.
+   * This controller owns the shard now, and its delegations are over. Returns whether it renewed
+   * the workers' leases in the former owner's place within the given time.
    */
-  boolean settle(int shard, long withinMicros) {
-    boolean served = ownEntries[shard] > 0 && nowMicros - ownUntilMicros[shard] < withinMicros;
-    ownEntries[shard] = 0;
-    return served;
+  boolean endOnAcquire(int shard, long withinMicros) {
+    Own entry = own[shard];
+    boolean renewed = entry.entries > 0 && nowMicros - entry.untilMicros < withinMicros;
+    entry.entries = 0;
+    return renewed;
   }
 }
--- a/src/main/java/gladeknot/membership/Membership.java
+++ b/src/main/java/gladeknot/membership/Membership.java
@@ -3,56 +3,36 @@
 import gladeknot.connectivity.Authority;
 import gladeknot.connectivity.ControlAction;
 import gladeknot.connectivity.FailoverAdvisor;
-import gladeknot.json.Json;
 import gladeknot.policy.Policy;
 import gladeknot.settings.Settings;
-import gladeknot.state.Entry;
 import gladeknot.state.StateStore;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 
 /**
  * The controllers' leases, and which of them owns which shard under which term.
  *
- * <p>A shard's key outlives its owner. It changes hands by one conditional write: to its home node
- * by the present owner, or to any node once the owner's leased liveness key is gone. Each change
- * draws a new term from one global counter.
+ * <p>A shard's key outlives its owner. It changes hands by one conditional write: by the present
+ * owner, or by any node once the owner's leased liveness key is gone. Each change draws a new term
+ * from one global counter.
  */
 public final class Membership implements Authority.ShardFacts {
-
-  /** Fields of a shard's and of a liveness key that others read too. */
-  static final String FIELD_OWNER = "owner";
-
-  static final String FIELD_INCARNATION = "inc";
-
-  private static final String SHARD = StateStore.ROOT + "shard/";
-  static final String FIELD_TERM = "term";
-
-  /** Starts are sent by a copy that is no older than this part of the state lease. */
-  private static final int FRESH_PART = 3;
-
-  /** Hears when a shard begins and ceases to be ours. */
-  public interface Listener {
-    /** Ours now, under a new term or after an unclear commit: read its slices anew. */
-    void onAcquired(int shard);
-
-    void onReleased(int shard);
-
-    /** Whether most of a shard's workers have fallen silent. */
-    boolean mostWorkersTimedOut(int shard);
-  }
+  /** Runs are sent by a cache that is no older than this part of the state lease. */
+  private static final int FRESH_LEASE_DIVISOR = 3;
 
   private final List<String> nodes;
-  private final int home;
+  private final int homeShard;
   private final StateStore stateStore;
+  private final ShardTable table;
   private final LeaseTimes times;
   private final StorageFormat format;
   private final StateLease lease;
   private final LeaseDelegations delegations;
   private final Authority authority;
   private final OwnedShards shards;
-  private final ShardTransfers mover;
+  private final ShardTransfers transfers;
   private long nowMicros;
 
   /** A member that has no lease and owns no shard yet. */
@@ -62,31 +42,35 @@
       StateStore stateStore,
       Authority.StateLink stateLink,
       FailoverAdvisor advisor,
-      Listener listener) {
+      ShardListener listener) {
     this.nodes = settings.nodes();
-    this.home = nodes.indexOf(settings.node());
+    this.homeShard = nodes.indexOf(settings.node());
     this.stateStore = stateStore;
-    this.format = new StorageFormat(settings, stateStore, stateStore.limits());
+    this.table = new ShardTable(stateStore, nodes.size());
+    this.format = new StorageFormat(settings, stateStore, stateStore.limits(), table);
     this.times = LeaseTimes.of(settings.workers(), policy.micros(Policy.Name.STATE_LEASE));
-    this.shards = new OwnedShards(nodes.size(), stateStore, listener);
-    this.lease = new StateLease(settings, stateStore, times, advisor, shards::dropAll);
-    this.delegations = new LeaseDelegations(settings, stateStore, times);
+    this.shards = new OwnedShards(table, listener);
+    this.lease = new StateLease(settings, stateStore, times, advisor, shards::releaseAll);
+    this.delegations = new LeaseDelegations(settings, stateStore, table, times);
     this.authority = new Authority(this, stateLink);
-    this.mover =
+    this.transfers =
         new ShardTransfers(
-            settings, stateStore, lease, delegations, shards, authority, advisor, listener);
+            settings, stateStore, table, lease, delegations, shards, authority, advisor, listener);
   }
 
+  /** There are as many shards as members. */
   public int shardCount() {
     return nodes.size();
   }
 
+  /** The shard that this controller owns while all is well. */
   public int homeShard() {
-    return home;
+    return homeShard;
   }
 
+  /** The key of a shard, on which its owner's transactions are conditional. */
   public static String shardKey(int shard) {
-    return SHARD + shard;
+    return MembershipKeys.shard(shard);
   }
 
   /** The format in which records are stored. */
@@ -94,15 +78,16 @@
     return format;
   }
 
+  /** How long leases and delegations last. */
   public LeaseTimes times() {
     return times;
   }
 
-  /** Tells the time by which what follows is judged. */
+  /** Sets the time, in microseconds of the steady clock, by which what follows is judged. */
   public void setTime(long micros) {
     nowMicros = micros;
-    lease.now(micros);
-    delegations.now(micros);
+    lease.setTime(micros);
+    delegations.setTime(micros);
   }
 
   /** Whether this controller's lease surely holds, so that it may act for its shards. */
@@ -110,7 +95,7 @@
     return lease.entitled();
   }
 
-  /** Whether an order of some kind may be given for a shard now. */
+  /** Whether an action of some kind may be taken for a shard now. */
   public boolean permits(ControlAction kind, int shard) {
     return authority.permits(kind, shard);
   }
@@ -136,79 +121,74 @@
   }
 
   /**
-   * A cancellation that the copy does not show can only be as old as the copy. Nothing is committed
-   * while the state service does not answer, so that little waits for this.
+   * A cancellation that the cache does not show can only be as old as the cache. Nothing is
+   * committed while the state service does not answer, so that little waits for this.
    */
   @Override
   public boolean copyFresh() {
-    return nowMicros - stateStore.currentAsOfMicros() < times.stateLeaseMicros() / FRESH_PART;
+    long age = nowMicros - stateStore.currentAsOfMicros();
+    return age < times.stateLeaseMicros() / FRESH_LEASE_DIVISOR;
   }
 
-  /** This life of this controller: the number of its state lease. */
+  /** The incarnation of this controller, the number of its state lease; 0 without one. */
   public long incarnation() {
     return lease.incarnation();
   }
 
+  /** A live view of the shards that this controller owns. */
   public Set<Integer> ownedShards() {
     return shards.all();
   }
 
-  /** Since when a shard has been ours. */
+  /** Since when this controller has owned a shard, in microseconds of the steady clock. */
   public long ownedSinceMicros(int shard) {
     return shards.sinceMicros(shard);
   }
 
-  /** A shard's term, the token that its workers are shown. */
+  /** A shard's term, the fencing token that its workers are shown; 0 if it never had an owner. */
   public long term(int shard) {
-    return term(stateStore, shard);
-  }
-
-  static long term(StateStore stateStore, int shard) {
-    Entry entry = stateStore.get(shardKey(shard));
-    return entry == null ? 0 : Json.num(entry.data(), FIELD_TERM, 0);
+    return table.term(shard);
   }
 
-  /** The owner of a shard, if its lease is seen to hold. */
-  public String liveOwner(int shard) {
-    String owner = owner(shard);
-    return owner != null && StateLease.isAlive(stateStore, owner) ? owner : null;
+  /** The owner of a shard, if its liveness key exists. */
+  public Optional<String> liveOwner(int shard) {
+    return owner(shard).filter(owner -> StateLease.isAlive(stateStore, owner));
   }
 
-  /** The owner of a shard by its key, alive or not; null if there is none. */
-  public String owner(int shard) {
-    Entry entry = stateStore.get(shardKey(shard));
-    return entry == null ? null : Json.text(entry.data(), FIELD_OWNER);
+  /** The owner of a shard by its key, alive or not. */
+  public Optional<String> owner(int shard) {
+    return Optional.ofNullable(table.record(shard).owner());
   }
 
-  /** The highest term that a shard of ours may have, by what was written without an answer. */
+  /** The highest term that an owned shard may have, counting writes that got no answer. */
   public long highestTerm(int shard) {
-    return shards.mostTerm(shard);
+    return shards.highestTerm(shard);
   }
 
-  /** The owner's incarnation by a shard's key. */
+  /** The owner's incarnation by a shard's key; 0 if it never had an owner. */
   public long incarnation(int shard) {
-    Entry entry = stateStore.get(shardKey(shard));
-    return entry == null ? 0 : Json.num(entry.data(), FIELD_INCARNATION, 0);
+    return table.record(shard).incarnation();
   }
 
   /**
    * Stops acting for a shard until its key has changed, so that another may take it: under every
-   * term that it may have now. If it comes back to us, it is under a higher one.
+   * term that it may have now. If this controller gets it back, it is under a higher one.
    */
   public void relinquish(int shard) {
     shards.relinquish(shard);
   }
 
+  /** How many members have a liveness key; at least 1. */
   public int liveMemberCount() {
     return Math.max(1, StateLease.aliveCount(stateStore));
   }
 
-  /** The key of the entries by which other controllers renew leases of a shard's workers. */
+  /** The key of a shard's lease delegation. */
   public static String delegationKey(int shard) {
-    return LeaseDelegations.key(shard);
+    return MembershipKeys.delegation(shard);
   }
 
-  /** The stamp of the newest entry by which another controller acts as a shard's delegate. */
+  /** The revision of the newest delegation of a shard that was observed; 0 if there is none. */
   public long delegationRevision(int shard) {
     return delegations.revision(shard);
   }
@@ -224,29 +204,31 @@
   }
 
   /**
-   * Enters that this controller answers the workers of a shard whose owner they can't reach. The
-   * owner takes no lease as lapsed before that has run out; it gives the shard away if most of its
-   * workers are silent.
+   * Enters a delegation by which this controller answers the workers of a shard whose owner they
+   * can't reach. The owner takes no lease as expired before the delegation has; it hands the shard
+   * over if no heartbeats come from most of its workers.
+   *
+   * @param then takes whether the delegation holds
    */
   public void becomeDelegate(int shard, Consumer<Boolean> then) {
     if (mayAct()) {
-      delegations.enter(shard, term(shard), then);
+      delegations.enter(shard, then);
     } else {
       then.accept(false);
     }
   }
 
-  /** A commit for a shard got no answer: nothing more goes until a new stamp makes it void. */
+  /** A transaction for a shard got no answer: nothing is scheduled until a new term voids it. */
   public void markInDoubt(int shard) {
-    shards.doubt(shard);
+    shards.markInDoubt(shard);
   }
 
-  /** A worker of the shard has seen a higher token than its term. */
+  /** A worker of the shard has seen a higher fencing token than its term: draws a higher one. */
   public void raiseTerm(int shard) {
     markInDoubt(shard);
   }
 
-  /** Renews the lease, reads, and moves shards one step, each when it is time. */
+  /** Renews the lease, reads, and transfers shards, each when it is time. */
   public void tick(long now) {
     setTime(now);
     if (!stateStore.loaded()) {
@@ -257,7 +239,7 @@
       format.tick(now);
     }
     if (lease.alive()) {
-      mover.tick(now);
+      transfers.tick(now);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/gladeknot/membership/MembershipCodec.java
@@ -0,0 +1,70 @@
+package gladeknot.membership;
+
+import gladeknot.json.Json;
+import gladeknot.state.Entry;
+import java.util.Map;
+
+/** How this package's records are stored in the state service. */
+final class MembershipCodec {
+  private static final String OWNER = "owner";
+  private static final String INCARNATION = "inc";
+  private static final String TERM = "term";
+  private static final String FORMAT = "f";
+  private static final String SPLIT = "split";
+  private static final String COUNTER = "n";
+  private static final String DELEGATE = "by";
+
+  /** The first version names no format with its liveness key. */
+  private static final int FIRST_FORMAT = 1;
+
+  private MembershipCodec() {}
+
+  static Map<String, Object> encode(ShardRecord shard) {
+    return Json.of(OWNER, shard.owner(), INCARNATION, shard.incarnation(), TERM, shard.term());
+  }
+
+  static ShardRecord shard(Entry entry) {
+    Map<String, Object> data = entry.data();
+    return new ShardRecord(
+        Json.text(data, OWNER), Json.num(data, INCARNATION, 0), Json.num(data, TERM, 0));
+  }
+
+  static Map<String, Object> encode(LivenessRecord liveness) {
+    return Json.of(INCARNATION, liveness.incarnation(), FORMAT, liveness.format());
+  }
+
+  static LivenessRecord liveness(Entry entry) {
+    Map<String, Object> data = entry.data();
+    return new LivenessRecord(
+        Json.num(data, INCARNATION, 0), (int) Json.num(data, FORMAT, FIRST_FORMAT));
+  }
+
+  static Map<String, Object> encode(DelegationRecord delegation) {
+    return Json.of(DELEGATE, delegation.delegate(), TERM, delegation.term());
+  }
+
+  static DelegationRecord delegation(Entry entry) {
+    Map<String, Object> data = entry.data();
+    return new DelegationRecord(Json.text(data, DELEGATE), Json.num(data, TERM, 0));
+  }
+
+  static Map<String, Object> encode(FormatRecord format) {
+    return Json.of(FORMAT, format.format(), SPLIT, format.segmentSplit());
+  }
+
+  static FormatRecord format(Entry entry) {
+    Map<String, Object> data = entry.data();
+    int split = (int) Math.max(1, Json.num(data, SPLIT, 1));
+    return new FormatRecord((int) Json.num(data, FORMAT, FIRST_FORMAT), split);
+  }
+
+  /** The counter from which terms are drawn. */
+  static Map<String, Object> encodeTermCounter(long lastTerm) {
+    return Json.of(COUNTER, lastTerm);
+  }
+
+  /** The highest term drawn so far; 0 without a counter, whose entry is then null. */
+  static long termCounter(Entry entry) {
+    return entry == null ? 0 : Json.num(entry.data(), COUNTER, 0);
+  }
+}
--- /dev/null
+++ b/src/main/java/gladeknot/membership/MembershipKeys.java
@@ -0,0 +1,32 @@
+package gladeknot.membership;
+
+import gladeknot.state.StateStore;
+
+/** The keys under which this package's records are stored. */
+final class MembershipKeys {
+  /** Prefix of the controllers' liveness keys. */
+  static final String LIVENESS_PREFIX = StateStore.ROOT + "alive/";
+
+  /** The counter from which terms are drawn. */
+  static final String TERM_COUNTER = StateStore.ROOT + "term";
+
+  /** The mark of the storage format. */
+  static final String FORMAT = StateStore.ROOT + "format";
+
+  private static final String SHARD_PREFIX = StateStore.ROOT + "shard/";
+  private static final String DELEGATION_PREFIX = StateStore.ROOT + "care/";
+
+  private MembershipKeys() {}
+
+  static String shard(int shard) {
+    return SHARD_PREFIX + shard;
+  }
+
+  static String liveness(String node) {
+    return LIVENESS_PREFIX + node;
+  }
+
+  static String delegation(int shard) {
+    return DELEGATION_PREFIX + shard;
+  }
+}
--- a/src/main/java/gladeknot/membership/StateLease.java
+++ b/src/main/java/gladeknot/membership/StateLease.java
@@ -1,8 +1,8 @@
 package gladeknot.membership;
 
 import gladeknot.connectivity.FailoverAdvisor;
-import gladeknot.json.Json;
 import gladeknot.settings.Settings;
+import gladeknot.state.CommitOutcome;
 import gladeknot.state.CommitStatus;
 import gladeknot.state.Entry;
 import gladeknot.state.LeaseRenewal;
@@ -20,23 +20,29 @@
 final class StateLease {
   private static final Logger LOG = LoggerFactory.getLogger(StateLease.class);
 
-  private static final String KEYS = StateStore.ROOT + "alive/";
   private static final long RETRY_MICROS = 400_000;
 
-  /** A lease is renewed, and the copy read, so many times in its length. */
-  private static final int RENEWALS_A_LEASE = 8;
+  /** A lease is renewed, and the cache proved current, so many times in its length. */
+  private static final int RENEWALS_PER_LEASE = 8;
 
-  /** Until the next read after one that failed. */
+  /** Until the next read barrier after one that failed. */
   private static final long READ_RETRY_MICROS = 700_000;
 
+  private static final long NO_LEASE = 0;
+
+  /** Is notified when a lease that was held has ended. */
+  interface Listener {
+    void onLost();
+  }
+
   private final StateStore stateStore;
   private final LeaseTimes times;
   private final String node;
   private final String ownKey;
   private final FailoverAdvisor advisor;
-  private final Runnable lost;
+  private final Listener listener;
 
-  private long grant;
+  private long leaseId = NO_LEASE;
   private long renewedMicros = Long.MIN_VALUE / 2;
   private long nextRenewMicros;
   private long nextReadMicros;
@@ -45,135 +51,139 @@
   private boolean announcing;
   private long nowMicros;
 
-  /** A lease that has not been asked for yet; {@code lost} runs when one held has ended. */
+  /** A lease that has not been requested yet. */
   StateLease(
       Settings settings,
       StateStore stateStore,
       LeaseTimes times,
       FailoverAdvisor advisor,
-      Runnable lost) {
+      Listener listener) {
     this.advisor = advisor;
     this.stateStore = stateStore;
     this.times = times;
     this.node = settings.node();
-    this.ownKey = key(settings.node());
-    this.lost = lost;
-  }
-
-  /** The liveness key of a controller. */
-  static String key(String node) {
-    return KEYS + node;
+    this.ownKey = MembershipKeys.liveness(settings.node());
+    this.listener = listener;
   }
 
-  /** Whether a controller's liveness key is there, as far as the copy tells. */
+  /** Whether a controller's liveness key exists, by the watch cache. */
   static boolean isAlive(StateStore stateStore, String node) {
-    return stateStore.get(key(node)) != null;
+    return stateStore.get(MembershipKeys.liveness(node)) != null;
   }
 
-  /** How many controllers are alive as far as the copy tells. */
+  /** How many controllers are alive, by the watch cache. */
   static int aliveCount(StateStore stateStore) {
-    return stateStore.withPrefix(KEYS).size();
+    return stateStore.withPrefix(MembershipKeys.LIVENESS_PREFIX).size();
   }
 
-  void now(long micros) {
+  void setTime(long micros) {
     nowMicros = micros;
   }
 
-  /** Whether the lease is held, announced, and what others did before has been read. */
+  /** Whether the lease is held and announced, and what others did before has been read. */
   boolean alive() {
     return alive;
   }
 
   /** The number of the lease, which identifies this life of the controller; 0 without one. */
   long incarnation() {
-    return grant;
+    return leaseId;
   }
 
+  /** The liveness key of this controller. */
   String ownKey() {
     return ownKey;
   }
 
-  /** Whether the lease surely holds and the copy is new enough to act on. */
+  /** Whether the lease surely holds and the cache is recent enough to act on. */
   boolean entitled() {
     return alive
         && announced()
         && nowMicros < times.actsUntilMicros(renewedMicros, stateStore.currentAsOfMicros());
   }
 
-  /** Whether the liveness key is there under the present lease, as far as the copy tells. */
-  boolean announced() {
+  /** Whether the liveness key exists under the present lease, by the watch cache. */
+  private boolean announced() {
     Entry entry = stateStore.get(ownKey);
-    return grant != 0
+    return leaseId != NO_LEASE
         && entry != null
-        && Json.num(entry.data(), Membership.FIELD_INCARNATION, 0) == grant;
+        && MembershipCodec.liveness(entry).incarnation() == leaseId;
   }
 
-  /** Renews the lease and reads the copy anew, each when it is time. */
+  /** Renews the lease and proves the cache current, each when it is time. */
   void tick() {
-    if (alive && !announced()) {
-      // Somebody else's write, or the end of the lease that it was attached to, took it away: the
-      // others may have taken our shards since.
-      LOG.info("the liveness key is not ours any more");
-      end();
-      nextRenewMicros = nowMicros;
-    }
-    boolean unanswered = nowMicros - renewedMicros > times.stateLeaseMicros();
-    if (grant != 0 && unanswered && advisor.abandonsLease()) {
-      LOG.info("state lease {} is not renewed any more: no answer for a whole lease", grant);
-      grant = 0;
-      end();
-    }
+    checkAnnounced();
+    abandonIfUnanswered();
     if (!renewing && nowMicros >= nextRenewMicros) {
       renewing = true;
-      if (grant == 0) {
+      if (leaseId == NO_LEASE) {
         request();
       } else {
-        extend();
+        renew();
       }
     }
     if (alive && nowMicros >= nextReadMicros) {
-      // The copy must be known to be current for as long as the lease is to hold: a lease that
-      // is renewed while the watch is stuck would hide a cancellation or a takeover.
+      // The cache must be known to be current for as long as the lease is to hold: a lease that is
+      // renewed while the watch is stuck would hide a cancellation or a failover.
       nextReadMicros = nowMicros + intervalMicros();
       stateStore.readBarrier(
           () -> {}, () -> nextReadMicros = Math.min(nextReadMicros, nowMicros + READ_RETRY_MICROS));
     }
   }
 
+  private void checkAnnounced() {
+    if (alive && !announced()) {
+      // Another write, or the end of the lease that it was attached to, removed it: the others may
+      // have taken this controller's shards since.
+      LOG.info("liveness key lost node={} lease={}", node, leaseId);
+      end();
+      nextRenewMicros = nowMicros;
+    }
+  }
+
+  private void abandonIfUnanswered() {
+    boolean unanswered = nowMicros - renewedMicros > times.stateLeaseMicros();
+    if (leaseId != NO_LEASE && unanswered && advisor.abandonsLease()) {
+      LOG.info("state lease abandoned lease={} reason=no-answer-for-a-whole-lease", leaseId);
+      leaseId = NO_LEASE;
+      end();
+    }
+  }
+
   private long intervalMicros() {
-    return times.stateLeaseMicros() / RENEWALS_A_LEASE;
+    return times.stateLeaseMicros() / RENEWALS_PER_LEASE;
   }
 
   private void end() {
     alive = false;
-    lost.run();
+    listener.onLost();
   }
 
   private void request() {
-    long sent = nowMicros;
+    long sentMicros = nowMicros;
     alive = false;
     stateStore.grantLease(
         times.stateLeaseMicros(),
         granted -> {
           renewing = false;
           if (granted.isPresent()) {
-            grant = granted.getAsLong();
-            renewedMicros = sent;
+            leaseId = granted.getAsLong();
+            renewedMicros = sentMicros;
             announce();
           }
-          nextRenewMicros = nowMicros + (grant == 0 ? RETRY_MICROS : intervalMicros());
+          nextRenewMicros = nowMicros + (leaseId == NO_LEASE ? RETRY_MICROS : intervalMicros());
         });
   }
 
-  private void extend() {
-    long sent = nowMicros;
-    long extended = grant;
+  private void renew() {
+    long sentMicros = nowMicros;
+    long renewed = leaseId;
     stateStore.renewLease(
-        extended,
+        renewed,
         renewal -> {
           renewing = false;
-          if (grant == extended) {
-            onRenewal(renewal, sent);
+          if (leaseId == renewed) {
+            onRenewal(renewal, sentMicros);
           }
         });
   }
@@ -188,8 +198,8 @@
         }
       }
       case EXPIRED -> {
-        LOG.info("state lease {} has ended; a new one is taken", grant);
-        grant = 0;
+        LOG.info("state lease expired lease={}", leaseId);
+        leaseId = NO_LEASE;
         end();
         nextRenewMicros = nowMicros;
       }
@@ -198,54 +208,51 @@
   }
 
   /**
-   * Puts up the liveness key under the new lease, over one that a former life may have left. The
-   * write is conditional on what the copy shows: a former life's, carried out late, must not take
-   * the key from this one, since it would go with the former lease and the shards with it.
+   * Writes the liveness key under the new lease, over one that a former life may have left. The
+   * write is conditional on what the cache shows: a former life's, executed late, must not take the
+   * key from this one, since it would vanish with the former lease, and the shards with it.
    */
   private void announce() {
     if (announcing) {
       return;
     }
     announcing = true;
-    long with = grant;
+    long announced = leaseId;
     if (announced()) {
-      settle(with);
+      awaitFreshCache(announced);
       return;
     }
-    Map<String, Object> data =
-        Json.of(
-            Membership.FIELD_INCARNATION,
-            with,
-            StorageFormat.FIELD_FORMAT,
-            StorageFormat.ANNOUNCED);
-    Mutation write = new Mutation(ownKey, data, with);
+    LivenessRecord record = new LivenessRecord(announced, StorageFormat.ANNOUNCED);
     stateStore.tryAcquireWrites(1, 0);
     stateStore.commit(
         Map.of(ownKey, stateStore.modRevision(ownKey)),
-        List.of(write),
-        outcome -> {
-          if (outcome.status() == CommitStatus.COMMITTED && with == grant) {
-            settle(with);
-            return;
-          }
-          announcing = false;
-          if (outcome.status() == CommitStatus.REJECTED && with == grant) {
-            grant = 0;
-            nextRenewMicros = nowMicros;
-          } else {
-            nextRenewMicros = nowMicros + RETRY_MICROS;
-          }
-        });
+        List.of(new Mutation(ownKey, MembershipCodec.encode(record), announced)),
+        outcome -> onAnnounced(outcome, announced));
+  }
+
+  private void onAnnounced(CommitOutcome outcome, long announced) {
+    boolean current = announced == leaseId;
+    if (outcome.status() == CommitStatus.COMMITTED && current) {
+      awaitFreshCache(announced);
+      return;
+    }
+    announcing = false;
+    if (outcome.status() == CommitStatus.REJECTED && current) {
+      leaseId = NO_LEASE;
+      nextRenewMicros = nowMicros;
+    } else {
+      nextRenewMicros = nowMicros + RETRY_MICROS;
+    }
   }
 
-  /** The key is up; what others did while it was not must be in the copy before we act. */
-  private void settle(long with) {
+  /** What others did while the key was missing must be in the cache before this node acts. */
+  private void awaitFreshCache(long announced) {
     stateStore.readBarrier(
         () -> {
           announcing = false;
-          if (with == grant && announced()) {
+          if (announced == leaseId && announced()) {
             alive = true;
-            LOG.info("alive as {} under state lease {}", node, grant);
+            LOG.info("controller alive node={} lease={}", node, leaseId);
           } else {
             nextRenewMicros = nowMicros;
           }
--- a/src/main/java/gladeknot/membership/StorageFormat.java
+++ b/src/main/java/gladeknot/membership/StorageFormat.java
@@ -1,6 +1,5 @@
 package gladeknot.membership;
 
-import gladeknot.json.Json;
 import gladeknot.settings.Settings;
 import gladeknot.state.Entry;
 import gladeknot.state.Mutation;
@@ -9,18 +8,19 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The format in which records are stored, decided by all controllers together.
+ * The format in which records are stored, agreed on by all controllers.
  *
  * <p>The first version writes no mark. Later ones announce their format with their liveness key.
- * Once all members do, and each shard is owned by such a life of a member, one of them commits the
- * mark, conditional on all those keys: from then on no process of the first version runs, and no
- * transaction that one of them may have left on its way can still be carried out, since each is
- * conditional on a shard's key that has changed since. Whoever writes slices does so on condition
- * of the mark's stamp.
+ * Once all members do, and each shard is owned by such an incarnation of a member, one of them
+ * commits the mark, conditional on all those keys: from then on no process of the first version
+ * runs, and no transaction that one of them may have sent can still be executed, since each is
+ * conditional on a shard's key that has changed since. Every write of slices is conditional on the
+ * mark's revision.
  */
 public final class StorageFormat {
   private static final Logger LOG = LoggerFactory.getLogger(StorageFormat.class);
@@ -28,141 +28,143 @@
   /** The format that this version announces. */
   static final int ANNOUNCED = 2;
 
-  static final String FIELD_FORMAT = "f";
+  /** Between two attempts to commit the mark. */
+  private static final long INTERVAL_MICROS = 1_000_000;
 
-  private static final String KEY = StateStore.ROOT + "format";
-  private static final String FIELD_SPLIT = "split";
-  private static final long STEP_MICROS = 1_000_000;
+  /** After a split, until it is known whether it was enough: records migrate meanwhile. */
+  private static final long SPLIT_INTERVAL_MICROS = 10_000_000;
 
-  /** After parts were split, until it is known whether that was enough: records move meanwhile. */
-  private static final long GROW_MICROS = 10_000_000;
-
-  /** Keeps part numbers small; with it a shard holds some hundred thousand tasks at once. */
+  /** Keeps segment numbers small; with it a shard holds some hundred thousand tasks at once. */
   private static final int MAX_SPLIT = 256;
 
   private final List<String> nodes;
   private final boolean firstMember;
   private final StateStore stateStore;
   private final TransactionLimits limits;
-  private Entry seen;
+  private final ShardTable table;
+  private Entry mark;
   private int segmentSplit = 1;
   private boolean writing;
   private boolean segmentFull;
-  private long nextMicros;
-  private long nextGrowMicros;
+  private long nextAttemptMicros;
+  private long nextSplitMicros;
 
-  /** The format as the copy shows it; without a mark it is the first version's. */
-  public StorageFormat(Settings settings, StateStore stateStore, TransactionLimits limits) {
+  /** The format as the watch cache shows it; without a mark it is the first version's. */
+  StorageFormat(
+      Settings settings, StateStore stateStore, TransactionLimits limits, ShardTable table) {
     this.nodes = settings.nodes();
     this.firstMember = nodes.get(0).equals(settings.node());
     this.stateStore = stateStore;
     this.limits = limits;
+    this.table = table;
   }
 
+  /** The key of the mark. */
   public static String key() {
-    return KEY;
+    return MembershipKeys.FORMAT;
   }
 
-  /** Takes the mark in from the copy: it is asked for far too often to be looked up each time. */
+  /** Takes the mark in from the cache: it is asked for far too often to be decoded each time. */
   public void onChange() {
-    seen = stateStore.get(KEY);
+    mark = stateStore.get(MembershipKeys.FORMAT);
     segmentFull = false;
-    segmentSplit = seen == null ? 1 : (int) Math.max(1, Json.num(seen.data(), FIELD_SPLIT, 1));
+    segmentSplit = mark == null ? 1 : MembershipCodec.format(mark).segmentSplit();
   }
 
-  /** The stamp of the mark that the other methods tell of; 0 while there is none. */
+  /** The revision of the mark on which the other methods rest; 0 while there is none. */
   public long revision() {
-    return seen == null ? 0 : seen.modRevision();
+    return mark == null ? 0 : mark.modRevision();
   }
 
   /** Whether all members are known to run this version or a later one. */
   public boolean agreed() {
-    return seen != null;
+    return mark != null;
   }
 
-  /** Into how many parts each of the first version's parts of a shard's record is split. */
+  /** How many segments each of the first version's segments of a shard is split into. */
   public int segmentSplit() {
     return segmentSplit;
   }
 
   /**
-   * Notes that a part of a shard's record has no room for tasks that there are machines for: how
-   * many tasks can run must not be bounded by the largest value of the state service.
+   * Notes that a segment can't hold tasks that there are machines for: how many tasks can run must
+   * not be bounded by the largest value of the state service.
    */
   public void reportSegmentFull() {
     segmentFull = true;
   }
 
-  /** Commits the mark once it may be; the first member by name does. */
+  /** Commits the mark once it may be; the first member in the settings does. */
   void tick(long nowMicros) {
     if (agreed()) {
       limits.onAllMembersUpgraded();
-      splitFullParts(nowMicros);
+      splitFullSegments(nowMicros);
     }
-    if (!firstMember || writing || nowMicros < nextMicros || !wanted()) {
+    boolean wanted = !agreed() || segmentSplit < limits.targetSegmentSplit();
+    if (!firstMember || writing || nowMicros < nextAttemptMicros || !wanted) {
       return;
     }
-    nextMicros = nowMicros + STEP_MICROS;
-    Map<String, Long> conditions = allCurrent();
-    if (conditions == null || !stateStore.tryAcquireWrites(1, 0)) {
-      return;
+    nextAttemptMicros = nowMicros + INTERVAL_MICROS;
+    Optional<Map<String, Long>> upgraded = revisionsIfAllUpgraded();
+    if (upgraded.isPresent() && stateStore.tryAcquireWrites(1, 0)) {
+      Map<String, Long> conditions = upgraded.get();
+      conditions.put(MembershipKeys.FORMAT, revision());
+      commit(limits.targetSegmentSplit(), conditions);
     }
-    conditions.put(KEY, revision());
-    write(limits.targetSegmentSplit(), conditions);
   }
 
-  /** Splits all parts in two; any member may, on condition that nobody else has. */
-  private void splitFullParts(long nowMicros) {
-    if (!segmentFull || writing || nowMicros < nextGrowMicros || segmentSplit() >= MAX_SPLIT) {
+  /** Splits all segments in two; any member may, on condition that no other has. */
+  private void splitFullSegments(long nowMicros) {
+    if (!segmentFull || writing || nowMicros < nextSplitMicros || segmentSplit >= MAX_SPLIT) {
       return;
     }
     if (stateStore.tryAcquireWrites(1, 0)) {
       segmentFull = false;
-      nextGrowMicros = nowMicros + GROW_MICROS;
-      Map<String, Long> conditions = new LinkedHashMap<>();
-      conditions.put(KEY, revision());
-      write(2 * segmentSplit(), conditions);
+      nextSplitMicros = nowMicros + SPLIT_INTERVAL_MICROS;
+      commit(2 * segmentSplit, Map.of(MembershipKeys.FORMAT, revision()));
     }
   }
 
-  private void write(int split, Map<String, Long> conditions) {
+  private void commit(int split, Map<String, Long> conditions) {
     writing = true;
+    FormatRecord record = new FormatRecord(ANNOUNCED, split);
     stateStore.commit(
         conditions,
-        List.of(Mutation.put(KEY, Json.of(FIELD_FORMAT, ANNOUNCED, FIELD_SPLIT, split))),
+        List.of(Mutation.put(MembershipKeys.FORMAT, MembershipCodec.encode(record))),
         outcome -> {
           writing = false;
-          LOG.info("format {} with parts split by {}: {}", ANNOUNCED, split, outcome.status());
+          LOG.info(
+              "storage format committed format={} segmentSplit={} status={}",
+              ANNOUNCED,
+              split,
+              outcome.status());
         });
   }
 
-  private boolean wanted() {
-    return !agreed() || segmentSplit() < limits.targetSegmentSplit();
-  }
-
-  /** The stamps of all liveness and shard keys, if all are of this version; else null. */
-  private Map<String, Long> allCurrent() {
-    Map<String, Long> stamps = new LinkedHashMap<>();
+  /** The revisions of all liveness and shard keys, if this version wrote all of them. */
+  private Optional<Map<String, Long>> revisionsIfAllUpgraded() {
+    Map<String, Long> revisions = new LinkedHashMap<>();
     for (String node : nodes) {
-      Entry alive = stateStore.get(StateLease.key(node));
-      if (alive == null || Json.num(alive.data(), FIELD_FORMAT, 1) < ANNOUNCED) {
-        return null;
+      Entry alive = stateStore.get(MembershipKeys.liveness(node));
+      if (alive == null || MembershipCodec.liveness(alive).format() < ANNOUNCED) {
+        return Optional.empty();
       }
-      stamps.put(StateLease.key(node), alive.modRevision());
+      revisions.put(MembershipKeys.liveness(node), alive.modRevision());
     }
     for (int shard = 0; shard < nodes.size(); shard++) {
-      Entry entry = stateStore.get(Membership.shardKey(shard));
-      String owner = entry == null ? null : Json.text(entry.data(), Membership.FIELD_OWNER);
-      Entry alive = owner == null ? null : stateStore.get(StateLease.key(owner));
-      if (alive == null || incarnation(entry) != incarnation(alive)) {
-        return null;
+      if (!isOwnedByLiveIncarnation(table.record(shard))) {
+        return Optional.empty();
       }
-      stamps.put(Membership.shardKey(shard), entry.modRevision());
+      revisions.put(table.key(shard), table.revision(shard));
     }
-    return stamps;
+    return Optional.of(revisions);
   }
 
-  private static long incarnation(Entry entry) {
-    return Json.num(entry.data(), Membership.FIELD_INCARNATION, 0);
+  private boolean isOwnedByLiveIncarnation(ShardRecord record) {
+    if (!record.hasOwner()) {
+      return false;
+    }
+    Entry alive = stateStore.get(MembershipKeys.liveness(record.owner()));
+    return alive != null && record.incarnation() == MembershipCodec.liveness(alive).incarnation();
   }
 }
--- a/src/main/java/gladeknot/scheduling/HomeShardSelector.java
+++ b/src/main/java/gladeknot/scheduling/HomeShardSelector.java
@@ -57,7 +57,7 @@
     int[] ready = readyReplicas(spec, within);
     for (int shard = 0; shard < ready.length; shard++) {
       boolean more = ready[shard] > ready[best];
-      if (more && membership.liveOwner(shard) != null) {
+      if (more && membership.liveOwner(shard).isPresent()) {
         best = shard;
       }
     }
--- a/src/main/java/gladeknot/workers/HeartbeatHandler.java
+++ b/src/main/java/gladeknot/workers/HeartbeatHandler.java
@@ -235,7 +235,7 @@
 
   /** A worker whose shard another controller owns. */
   private void elsewhere(long request, byte[] body, Heartbeat report, int shard) {
-    String owner = membership.liveOwner(shard);
+    String owner = membership.liveOwner(shard).orElse(null);
     long term = membership.term(shard);
     if (owner == null) {
       outbox.retryLater(request, 503, "its controller is changing", 1);
--- a/src/test/java/gladeknot/membership/OwnedShardsTest.java
+++ b/src/test/java/gladeknot/membership/OwnedShardsTest.java
@@ -12,28 +12,29 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What was yielded stays yielded, whatever answers come later. */
+/** What was relinquished stays so, whatever answers come later. */
 class OwnedShardsTest {
   private static final int SHARD = 1;
 
   private final List<String> heard = new ArrayList<>();
   private final OwnedShards shards =
       new OwnedShards(
-          3,
-          new StateStore(
-              SimulatedCluster.settings(0, 3, SimulatedCluster.SMALL),
-              new Outbox(),
-              new SplittableRandom(1),
-              changes -> {}),
-          new Membership.Listener() {
+          new ShardTable(
+              new StateStore(
+                  SimulatedCluster.settings(0, 3, SimulatedCluster.SMALL),
+                  new Outbox(),
+                  new SplittableRandom(1),
+                  changes -> {}),
+              3),
+          new ShardListener() {
             @Override
             public void onAcquired(int shard) {
-              heard.add("gained " + shard);
+              heard.add("acquired " + shard);
             }
 
             @Override
             public void onReleased(int shard) {
-              heard.add("lost " + shard);
+              heard.add("released " + shard);
             }
 
             @Override
@@ -43,42 +44,42 @@
           });
 
   @Test
-  void anAnswerToAWriteFromBeforeTheYieldDoesNotEndIt() {
-    shards.gain(SHARD, 0);
+  void anAnswerToAWriteFromBeforeRelinquishingDoesNotEndIt() {
+    shards.acquire(SHARD, 0);
     long onItsWay = shards.nextTerm(SHARD, 4);
     shards.relinquish(SHARD);
-    assertEquals(onItsWay, shards.mostTerm(SHARD));
-    shards.wrote(SHARD, onItsWay);
+    assertEquals(onItsWay, shards.highestTerm(SHARD));
+    shards.onWritten(SHARD, onItsWay);
     assertFalse(shards.held(SHARD));
-    assertTrue(shards.needsNewStamp(SHARD));
+    assertTrue(shards.needsNewRevision(SHARD));
     // That write may not have been carried out, so that its term can be drawn again.
     long next = shards.nextTerm(SHARD, 4);
     assertTrue(next > onItsWay);
-    shards.wrote(SHARD, next);
+    shards.onWritten(SHARD, next);
     assertTrue(shards.held(SHARD));
   }
 
   @Test
-  void aShardThatIsGivenAndKeptAfterAllIsHeldAgain() {
-    shards.gain(SHARD, 0);
-    shards.beginYielding(SHARD);
+  void aShardWhoseHandOverFailsIsHeldAgain() {
+    shards.acquire(SHARD, 0);
+    shards.beginHandOver(SHARD);
     assertFalse(shards.held(SHARD));
-    shards.wrote(SHARD, shards.nextTerm(SHARD, 4));
+    shards.onWritten(SHARD, shards.nextTerm(SHARD, 4));
     assertTrue(shards.held(SHARD));
   }
 
   @Test
-  void whatIsNotOursIsNeitherYieldedNorInDoubt() {
+  void aShardThatIsNotOwnedIsNeitherRelinquishedNorInDoubt() {
     shards.relinquish(SHARD);
-    shards.doubt(SHARD);
-    shards.gain(SHARD, 0);
+    shards.markInDoubt(SHARD);
+    shards.acquire(SHARD, 0);
     assertTrue(shards.held(SHARD));
-    assertFalse(shards.needsNewStamp(SHARD));
-    shards.doubt(SHARD);
-    assertTrue(shards.needsNewStamp(SHARD));
-    shards.drop(SHARD);
-    shards.drop(SHARD);
-    assertFalse(shards.needsNewStamp(SHARD));
-    assertEquals(List.of("gained 1", "lost 1"), heard);
+    assertFalse(shards.needsNewRevision(SHARD));
+    shards.markInDoubt(SHARD);
+    assertTrue(shards.needsNewRevision(SHARD));
+    shards.release(SHARD);
+    shards.release(SHARD);
+    assertFalse(shards.needsNewRevision(SHARD));
+    assertEquals(List.of("acquired 1", "released 1"), heard);
   }
 }
