--- /dev/null
+++ b/src/main/java/gladeknot/app/ControllerComponents.java
@@ -0,0 +1,156 @@
+package gladeknot.app;
+
+import gladeknot.commit.TransactionCommitter;
+import gladeknot.connectivity.Authority;
+import gladeknot.connectivity.ConnectivityMonitor;
+import gladeknot.connectivity.FailoverAdvisor;
+import gladeknot.connectivity.HeartbeatObserver;
+import gladeknot.fleet.Fleet;
+import gladeknot.jobs.Job;
+import gladeknot.jobs.JobRegistry;
+import gladeknot.jobs.JobRequestHandler;
+import gladeknot.lifecycle.TaskLifecycle;
+import gladeknot.membership.Membership;
+import gladeknot.outbox.Outbox;
+import gladeknot.policy.Policy;
+import gladeknot.quota.QuotaAllocator;
+import gladeknot.scheduling.HomeShardSelector;
+import gladeknot.scheduling.Scheduler;
+import gladeknot.settings.Features;
+import gladeknot.settings.Settings;
+import gladeknot.state.StateStore;
+import gladeknot.tasks.SliceRegistry;
+import gladeknot.tracing.TaskTracer;
+import gladeknot.workers.HeartbeatHandler;
+import gladeknot.workers.MachineType;
+import gladeknot.workers.WorkerRegistry;
+import java.util.Optional;
+import java.util.random.RandomGenerator;
+
+/**
+ * Constructs the parts of a controller and connects them, from the lowest package to the highest.
+ *
+ * <p>Where a lower part notifies a higher one that does not exist yet, it gets an adapter that
+ * looks the higher one up here when it is called, which is never before the first tick.
+ */
+final class ControllerComponents {
+  final Outbox outbox = new Outbox();
+  final WorkerRegistry workers = new WorkerRegistry();
+
+  /** Present with the feature {@code partial-cuts}. */
+  final Optional<ConnectivityMonitor> connectivity;
+
+  final StateStore stateStore;
+  final Membership membership;
+  final JobRegistry jobs;
+  final SliceRegistry slices;
+  final TransactionCommitter committer;
+  final TaskLifecycle lifecycle;
+  final QuotaAllocator quota;
+  final Fleet fleet;
+  final Scheduler scheduler;
+  final HomeShardSelector homeShards;
+  final JobRequestHandler jobRequests;
+  final HeartbeatHandler heartbeats;
+
+  ControllerComponents(
+      Settings settings,
+      Features features,
+      Policy policy,
+      RandomGenerator random,
+      TaskTracer tracer) {
+    connectivity = features.partialCuts().map(f -> new ConnectivityMonitor(settings, f, outbox));
+    stateStore = new StateStore(settings, outbox, random, new StateChangeDispatcher(this));
+    membership = newMembership(settings, policy);
+    jobs = new JobRegistry(this::onJobChange);
+    slices = newSlices();
+    committer = new TransactionCommitter(stateStore, membership, jobs, slices, tracer);
+    lifecycle = newLifecycle(settings, tracer);
+    quota = new QuotaAllocator(settings, stateStore, membership, slices, committer, outbox);
+    fleet =
+        new Fleet(settings, policy, stateStore, membership, workers, committer, lifecycle, outbox);
+    scheduler = newScheduler(settings, policy);
+    fleet.setPlacer(scheduler);
+    homeShards = new HomeShardSelector(settings, membership, jobs, workers, fleet::type);
+    jobRequests = newJobRequests(settings, tracer);
+    heartbeats = newHeartbeats(settings);
+    committer.afterCommit(this::onCommit);
+  }
+
+  private Membership newMembership(Settings settings, Policy policy) {
+    Membership created =
+        new Membership(
+            settings,
+            policy,
+            stateStore,
+            connectivity.<Authority.StateLink>map(c -> c).orElse(Authority.StateLink.TRUSTED),
+            connectivity.<FailoverAdvisor>map(c -> c).orElse(FailoverAdvisor.NONE),
+            new ShardOwnershipListener(this));
+    connectivity.ifPresent(
+        monitor ->
+            monitor.attach(new CachedShardView(settings, created, workers), created.authority()));
+    return created;
+  }
+
+  private SliceRegistry newSlices() {
+    return new SliceRegistry(
+        membership.shardCount(), membership.format()::segmentSplit, stateStore, workers);
+  }
+
+  private TaskLifecycle newLifecycle(Settings settings, TaskTracer tracer) {
+    return new TaskLifecycle(
+        settings, membership, jobs, slices, workers, committer, outbox, this::cacheGb, tracer);
+  }
+
+  private Scheduler newScheduler(Settings settings, Policy policy) {
+    return new Scheduler(
+        settings,
+        policy,
+        membership,
+        jobs,
+        slices,
+        workers,
+        committer,
+        quota,
+        lifecycle,
+        fleet::type,
+        fleet::zonesOffered);
+  }
+
+  private JobRequestHandler newJobRequests(Settings settings, TaskTracer tracer) {
+    return new JobRequestHandler(
+        settings, stateStore, jobs, outbox, tracer, new JobClusterView(this, settings.node()));
+  }
+
+  private HeartbeatHandler newHeartbeats(Settings settings) {
+    return new HeartbeatHandler(
+        settings,
+        stateStore,
+        membership,
+        workers,
+        outbox,
+        connectivity.<HeartbeatObserver>map(c -> c).orElse(HeartbeatObserver.NONE),
+        new HeartbeatReconciler(this));
+  }
+
+  /** The image cache of a machine type, in GB; 0 for an unknown type. */
+  private double cacheGb(String typeName) {
+    MachineType type = fleet.type(typeName);
+    return type == null ? 0 : type.cacheGb();
+  }
+
+  private void onCommit() {
+    lifecycle.requestScheduling();
+    heartbeats.release();
+  }
+
+  private void onJobChange(Job before, Job after) {
+    if (before == null && after == null) {
+      return;
+    }
+    lifecycle.onJobChange(before, after);
+    if (before == null && after.active()) {
+      fleet.onJobArrival(after);
+    }
+  }
+}
--- a/src/main/java/gladeknot/app/ControllerProcess.java
+++ b/src/main/java/gladeknot/app/ControllerProcess.java
@@ -12,22 +12,30 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
+import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs the core on one event loop: carries its calls and answers out, lets its time pass. */
+/**
+ * Runs the controller on one event loop: carries its calls and answers out, lets its time pass. The
+ * only place where a RuntimeException is caught: a fault in one event must not stop the others.
+ */
 public final class ControllerProcess {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerProcess.class);
-  private static final long TICK_MS = 50;
+  private static final long TICK_MILLIS = 50;
 
   /** Sockets kept for calls to other services. */
-  private static final int OWN_SOCKETS = 100;
+  private static final int RESERVED_SOCKETS = 100;
+
+  private static final int MIN_CONNECTIONS = 50;
+  private static final int UNAVAILABLE = 503;
+  private static final int RETRY_AFTER_SECONDS = 1;
 
   private final Settings settings;
   private final Features features;
-  private final Controller core;
+  private final Controller controller;
   private final EventLoopGroup group;
   private final HttpServer server;
   private final HttpCaller caller;
@@ -39,63 +47,64 @@
     this.settings = settings;
     this.features = features;
     long seed = settings.node().hashCode() * 31L + System.nanoTime();
-    this.core = new Controller(settings, features, policy, new SplittableRandom(seed), tracer);
+    this.controller =
+        new Controller(settings, features, policy, new SplittableRandom(seed), tracer);
     this.group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    int most = Math.max(50, settings.maxConnections() - OWN_SOCKETS);
-    this.server = new HttpServer(this::request, most);
-    this.caller = new HttpCaller(group, this::reply);
-    this.peers = new PeerLinks(settings, group, core::onPeerMessage);
+    int connections = Math.max(MIN_CONNECTIONS, settings.maxConnections() - RESERVED_SOCKETS);
+    this.server = new HttpServer(this::onRequest, connections);
+    this.caller = new HttpCaller(group, this::onReply);
+    this.peers = new PeerLinks(settings, group, controller::onPeerMessage);
   }
 
   /** Starts; the event loop's thread keeps the process running. */
   public void start() {
-    String listen = settings.clientListen();
-    int colon = listen.lastIndexOf(':');
-    server.listen(group, listen.substring(0, colon), Integer.parseInt(listen.substring(colon + 1)));
+    ListenAddress address = ListenAddress.parse(settings.clientListen());
+    server.listen(group, address.host(), address.port());
     peers.listen();
-    LOG.info("{} listens on {}", settings.node(), listen);
+    LOG.info("controller listening node={} address={}", settings.node(), settings.clientListen());
     features
         .partialCuts()
         .flatMap(PartialCuts::status)
-        .ifPresent(status -> new StatusListener(core::status).listen(group, status.listen()));
-    group.next().execute(this::tick);
+        .ifPresent(status -> new StatusListener(controller::status).listen(group, status.listen()));
+    group.next().execute(this::onTick);
   }
 
-  private void tick() {
+  private void onTick() {
     try {
-      core.tick(now(), System.currentTimeMillis() * 1000);
+      tick();
       drain();
     } catch (RuntimeException e) {
-      LOG.error("tick failed", e);
+      LOG.error("event failed event=tick", e);
     }
-    group.next().schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
+    group.next().schedule(this::onTick, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private static long now() {
-    return System.nanoTime() / 1000;
+  private void tick() {
+    controller.tick(System.nanoTime() / 1000, System.currentTimeMillis() * 1000);
   }
 
-  private void request(long id, String method, String path, byte[] body) {
+  private void onRequest(long request, String method, String path, byte[] body) {
     try {
-      core.tick(now(), System.currentTimeMillis() * 1000);
-      core.onRequest(id, method, path, body);
+      tick();
+      controller.onRequest(request, method, path, body);
     } catch (RuntimeException e) {
-      LOG.error("{} {} failed", method, path, e);
-      core.outbox().retryLater(id, 503, "internal error", 1);
+      LOG.error("event failed event=request method={} path={}", method, path, e);
+      controller.outbox().retryLater(request, UNAVAILABLE, "internal error", RETRY_AFTER_SECONDS);
     }
     drain();
   }
 
-  private void reply(long id, Outbox.Reply reply) {
+  private void onReply(long call, Outbox.Reply reply) {
     try {
-      core.tick(now(), System.currentTimeMillis() * 1000);
-      core.outbox().reply(id, reply);
+      tick();
+      controller.outbox().reply(call, reply);
     } catch (RuntimeException e) {
-      LOG.error("reply failed", e);
+      LOG.error("event failed event=reply call={} status={}", call, reply.status(), e);
     }
     drain();
   }
 
+  /** Carries out what the controller wants done; a reply that comes at once may add to it. */
   private void drain() {
     if (draining) {
       return;
@@ -104,11 +113,11 @@
     try {
       boolean more = true;
       while (more) {
-        var answers = core.outbox().drainAnswers();
-        var calls = core.outbox().drainCalls();
+        List<Outbox.Answer> answers = controller.outbox().drainAnswers();
+        List<Outbox.Call> calls = controller.outbox().drainCalls();
         answers.forEach(server::answer);
         calls.forEach(caller::call);
-        core.outbox().drainPeerMessages().forEach(peers::send);
+        controller.outbox().drainPeerMessages().forEach(peers::send);
         more = !answers.isEmpty() || !calls.isEmpty();
       }
     } finally {
--- a/src/main/java/gladeknot/app/Main.java
+++ b/src/main/java/gladeknot/app/Main.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.ParseResult;
 
-/** The command line. */
+/** The command line: serves, checks files, or shows the status of a running controller. */
 public final class Main {
   static final String VERSION = "gladeknot 0.1.0";
   private static final int BAD_SETTINGS = 2;
@@ -52,7 +52,8 @@
       System.err.println(e.getMessage());
       return BAD_SETTINGS;
     }
-    CommandLine chosen = parsed.asCommandLineList().get(parsed.asCommandLineList().size() - 1);
+    List<CommandLine> commands = parsed.asCommandLineList();
+    CommandLine chosen = commands.get(commands.size() - 1);
     if (chosen.isUsageHelpRequested()) {
       chosen.usage(System.out);
       return 0;
@@ -61,6 +62,10 @@
       cli.printVersionHelp(System.out);
       return 0;
     }
+    return execute(cli, parsed);
+  }
+
+  private static int execute(CommandLine cli, ParseResult parsed) {
     if (parsed.hasSubcommand()) {
       return runSubcommand(parsed.subcommand());
     }
@@ -131,12 +136,14 @@
       System.err.println("tracing.file: can't be written: " + e.getMessage());
       return BAD_SETTINGS;
     }
+    Policy policy;
     try {
-      new ControllerProcess(settings, features, Policy.load(policyFile), tracer).start();
+      policy = Policy.load(policyFile);
     } catch (IOException e) {
       System.err.println(policyFile + ": can't be read: " + e.getMessage());
       return BAD_SETTINGS;
     }
+    new ControllerProcess(settings, features, policy, tracer).start();
     return 0;
   }
 
--- a/src/main/java/gladeknot/app/StatusCommand.java
+++ b/src/main/java/gladeknot/app/StatusCommand.java
@@ -19,6 +19,8 @@
 final class StatusCommand {
   static final String DEFAULT_ADDRESS = "127.0.0.1:7171";
   private static final Duration TIMEOUT = Duration.ofSeconds(3);
+  private static final int OK = 200;
+  private static final int SUCCEEDED = 0;
   private static final int FAILED = 1;
 
   private final PrintStream out;
@@ -29,7 +31,7 @@
     this.err = err;
   }
 
-  /** Asks the listener at host:port; returns the exit code. */
+  /** Asks the listener at host:port and prints its answer; returns the exit code. */
   int run(String address, boolean json) {
     HttpResponse<byte[]> response;
     try {
@@ -44,23 +46,28 @@
       Thread.currentThread().interrupt();
       return fail("interrupted");
     }
-    if (response.statusCode() != 200) {
+    return show(address, response, json);
+  }
+
+  private int show(String address, HttpResponse<byte[]> response, boolean json) {
+    if (response.statusCode() != OK) {
       return fail(address + ": answers " + response.statusCode() + "; not an operators' listener");
     }
+    Map<String, Object> status;
     try {
-      Map<String, Object> status = Json.object(response.body());
-      if (!status.containsKey("links")) {
-        return fail(address + ": answers without links; an older version, or another service");
-      }
-      if (json) {
-        out.println(new String(response.body(), StandardCharsets.UTF_8));
-      } else {
-        print(status);
-      }
-      return 0;
+      status = Json.object(response.body());
     } catch (IOException e) {
       return fail(address + ": does not answer with JSON; not an operators' listener");
     }
+    if (!status.containsKey("links")) {
+      return fail(address + ": answers without links; an older version, or another service");
+    }
+    if (json) {
+      out.println(new String(response.body(), StandardCharsets.UTF_8));
+    } else {
+      print(status);
+    }
+    return SUCCEEDED;
   }
 
   private static HttpResponse<byte[]> get(String address) throws IOException, InterruptedException {
@@ -96,16 +103,22 @@
     if (rows.isEmpty()) {
       return;
     }
+    int[] widths = widths(rows, columns);
+    line(columns, widths);
+    for (Map<String, Object> row : rows) {
+      line(columns.stream().map(column -> cell(row.get(column))).toList(), widths);
+    }
+  }
+
+  /** The width of each column, by its name and its cells. */
+  private static int[] widths(List<Map<String, Object>> rows, List<String> columns) {
     int[] widths = columns.stream().mapToInt(String::length).toArray();
     for (Map<String, Object> row : rows) {
       for (int i = 0; i < widths.length; i++) {
         widths[i] = Math.max(widths[i], cell(row.get(columns.get(i))).length());
       }
     }
-    line(columns, widths);
-    for (Map<String, Object> row : rows) {
-      line(columns.stream().map(c -> cell(row.get(c))).toList(), widths);
-    }
+    return widths;
   }
 
   private void line(List<String> cells, int[] widths) {
--- a/src/main/java/gladeknot/app/StatusListener.java
+++ b/src/main/java/gladeknot/app/StatusListener.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Serves what operators are shown, as JSON on an address of its own. */
+/** Serves the status for operators, as JSON on an address of its own. */
 final class StatusListener {
   private static final Logger LOG = LoggerFactory.getLogger(StatusListener.class);
 
@@ -17,35 +17,36 @@
   static final String PATH = "/status";
 
   private static final int MAX_CONNECTIONS = 20;
+  private static final int OK = 200;
+  private static final int NOT_FOUND = 404;
+  private static final int METHOD_NOT_ALLOWED = 405;
 
   private final Supplier<Map<String, Object>> status;
   private final HttpServer server;
 
   StatusListener(Supplier<Map<String, Object>> status) {
     this.status = status;
-    this.server = new HttpServer(this::request, MAX_CONNECTIONS);
+    this.server = new HttpServer(this::onRequest, MAX_CONNECTIONS);
   }
 
   /** Listens on host:port, on the same event loop as everything else. */
   void listen(EventLoopGroup group, String address) {
-    int colon = address.lastIndexOf(':');
-    int port = Integer.parseInt(address.substring(colon + 1));
-    server.listen(group, address.substring(0, colon), port);
-    LOG.info("status for operators on {}", address);
+    ListenAddress parsed = ListenAddress.parse(address);
+    server.listen(group, parsed.host(), parsed.port());
+    LOG.info("status listening address={}", address);
   }
 
-  private void request(long id, String method, String path, byte[] body) {
-    int code = 200;
-    Map<String, Object> answer;
+  private void onRequest(long request, String method, String path, byte[] body) {
     if (!path.equals(PATH)) {
-      code = 404;
-      answer = Json.of("error", "no such path");
+      answer(request, NOT_FOUND, Json.of("error", "no such path"));
     } else if (!method.equals("GET")) {
-      code = 405;
-      answer = Json.of("error", "use GET");
+      answer(request, METHOD_NOT_ALLOWED, Json.of("error", "use GET"));
     } else {
-      answer = status.get();
+      answer(request, OK, status.get());
     }
-    server.answer(new Outbox.Answer(id, code, Json.bytes(answer), 0));
+  }
+
+  private void answer(long request, int code, Map<String, Object> body) {
+    server.answer(new Outbox.Answer(request, code, Json.bytes(body), 0));
   }
 }
