--- a/src/main/java/gladeknot/app/CachedShardView.java
+++ b/src/main/java/gladeknot/app/CachedShardView.java
@@ -5,8 +5,9 @@
 import gladeknot.settings.Settings;
 import gladeknot.workers.WorkerRegistry;
 import java.util.Collection;
+import java.util.Optional;
 
-/** Shards and their workers as membership and the copy of the state show them. */
+/** Shows the connectivity monitor the shards and workers of higher packages. */
 final class CachedShardView implements ShardView {
   private final Settings settings;
   private final Membership membership;
@@ -24,13 +25,13 @@
   }
 
   @Override
-  public String home(int shard) {
+  public String homeNode(int shard) {
     return settings.nodes().get(shard);
   }
 
   @Override
-  public String owner(int shard) {
-    return membership.owner(shard).orElse(null);
+  public Optional<String> owner(int shard) {
+    return membership.owner(shard);
   }
 
   @Override
@@ -54,14 +55,14 @@
   }
 
   @Override
-  public void yield(int shard) {
+  public void relinquish(int shard) {
     membership.relinquish(shard);
   }
 
   @Override
   public Collection<WorkerAddress> workers(int shard) {
     return workers.inShard(shard).stream()
-        .map(w -> new WorkerAddress(w.host(), w.zone(), w.endpoint()))
+        .map(worker -> new WorkerAddress(worker.host(), worker.zone(), worker.endpoint()))
         .toList();
   }
 }
--- a/src/main/java/gladeknot/connectivity/Authority.java
+++ b/src/main/java/gladeknot/connectivity/Authority.java
@@ -2,24 +2,24 @@
 
 /** Decides what may be done for a shard now, by {@link ControlAction}'s table. */
 public final class Authority {
-  /** What leases, transactions and the copy say of a shard. */
+  /** What leases, transactions and the watch cache show of a shard. */
   public interface ShardFacts {
-    /** Whether the shard is ours, not being given away, and our state lease surely holds. */
+    /** Whether the shard is owned, not being handed over, and the state lease surely holds. */
     boolean leaseHolds(int shard);
 
     /** Whether the outcome of a transaction for the shard is unknown. */
     boolean inDoubt(int shard);
 
-    /** Whether the copy of the state has been read. */
+    /** Whether the watch cache is loaded. */
     boolean copyLoaded();
 
-    /** Whether the copy is new enough for starts to be sent by it. */
+    /** Whether the watch cache is recent enough for runs to be sent by it. */
     boolean copyFresh();
   }
 
-  /** What links say; they can only take authority away. */
+  /** The verdict on the link to the state service; it can only take authority away. */
   public interface StateLink {
-    /** Without knowledge of links nothing is taken away. */
+    /** Without knowledge of links no authority is taken away. */
     StateLink TRUSTED =
         new StateLink() {
           @Override
@@ -54,7 +54,7 @@
     this.stateLink = stateLink;
   }
 
-  /** Whether an order of this kind may be given for a shard. */
+  /** Whether an action of this kind may be taken for a shard. */
   public boolean permits(ControlAction kind, int shard) {
     for (Requirement requirement : kind.requirements()) {
       if (!holds(requirement, shard)) {
--- a/src/main/java/gladeknot/connectivity/AuthorityLog.java
+++ b/src/main/java/gladeknot/connectivity/AuthorityLog.java
@@ -7,11 +7,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Follows each shard's level of authority, logs each change once, and keeps the last ones. */
+/** Logs each change of a shard's level of authority once, and keeps the last changes. */
 final class AuthorityLog {
   private static final Logger LOG = LoggerFactory.getLogger(AuthorityLog.class);
 
-  /** How many changes are kept to be shown. */
+  /** How many changes are kept for the status. */
   private static final int KEPT = 10;
 
   /** One change, by the time of day. */
@@ -20,22 +20,22 @@
   private final Map<Integer, AuthorityLevel> levels = new HashMap<>();
   private final EvictingQueue<Change> changes = EvictingQueue.create(KEPT);
 
-  /** Looks at one shard's level now. */
-  void look(int shard, Authority authority, long wallMicros) {
+  /** Observes one shard's level now. */
+  void observe(int shard, Authority authority, long wallMicros) {
     AuthorityLevel level = authority.level(shard);
     AuthorityLevel before = levels.getOrDefault(shard, AuthorityLevel.RELINQUISHED);
     if (before == level) {
       return;
     }
     levels.put(shard, level);
-    String why = authority.cause(shard);
+    String cause = authority.cause(shard);
     LOG.info(
         "authority for shard {}: {} after {}{}",
         shard,
         level.word(),
         before.word(),
-        why.isEmpty() ? "" : "; " + why);
-    changes.add(new Change(wallMicros, shard, before, level, why));
+        cause.isEmpty() ? "" : "; " + cause);
+    changes.add(new Change(wallMicros, shard, before, level, cause));
   }
 
   /** The last changes, the newest last. */
--- a/src/main/java/gladeknot/connectivity/CanaryProbe.java
+++ b/src/main/java/gladeknot/connectivity/CanaryProbe.java
@@ -2,98 +2,111 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import java.util.OptionalInt;
 
 /**
- * Finds out whether a shard's workers can report to its home controller again, before the shard
- * goes back there: one worker is sent to the home, which sends it back since it does not own the
- * shard. Back sooner than a worker waits for an answer, it has got through in both directions.
+ * Probes whether a shard's workers can reach its home controller again, before the shard returns
+ * there. One worker, the canary, is redirected to the home, which redirects it back since it does
+ * not own the shard. If the canary is back sooner than a worker waits for an answer, it has got
+ * through in both directions.
  */
 final class CanaryProbe {
-  /** A worker waits so long for an answer; who is back by then has had one. */
+  /** A worker waits so long for an answer; a canary that is back by then has had one. */
   private static final long ANSWER_WAIT_MICROS = 4_000_000;
 
-  /** After so long a worker that was sent has not come back. */
+  /** After so long a canary is taken as lost. */
   private static final long LOST_MICROS = 15_000_000;
 
-  /** For so long a worker without tasks is looked for before any is sent. */
+  /** For so long a worker without tasks is preferred as the canary. */
   private static final long IDLE_WAIT_MICROS = 3_000_000;
 
-  /** For so long it counts that a worker has got through. */
-  private static final long PASSED_MICROS = 5_000_000;
+  /** For so long a probe that succeeded counts. */
+  private static final long VALID_MICROS = 5_000_000;
 
-  private static final long NONE = Long.MIN_VALUE / 2;
+  private static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** The trial of one shard. */
-  private static final class Trial {
-    private long wantedMicros;
-    private String host;
-    private long sentMicros = NONE;
-    private long passedMicros = NONE;
+  /** The probe of one shard: first wanted, then with a canary on its way, then succeeded. */
+  private static final class Probe {
+    private final long wantedMicros;
+    private String canary;
+    private long redirectedMicros = NEVER;
+    private long succeededMicros = NEVER;
+
+    private Probe(long wantedMicros) {
+      this.wantedMicros = wantedMicros;
+    }
+
+    private boolean succeeded() {
+      return succeededMicros != NEVER;
+    }
   }
 
-  private final Map<Integer, Trial> trials = new HashMap<>();
+  private final Map<Integer, Probe> probes = new HashMap<>();
   private long nowMicros;
 
-  /**
-   * Lets time pass; returns a shard whose worker has not come back, or below 0 if there is none.
-   */
-  int tick(long now) {
+  /** Advances the time; returns a shard whose canary is lost, if there is one. */
+  OptionalInt tick(long now) {
     nowMicros = now;
-    for (Map.Entry<Integer, Trial> entry : trials.entrySet()) {
-      if (entry.getValue().host != null && now - entry.getValue().sentMicros > LOST_MICROS) {
-        trials.remove(entry.getKey());
-        return entry.getKey();
+    for (Map.Entry<Integer, Probe> entry : probes.entrySet()) {
+      Probe probe = entry.getValue();
+      if (probe.canary != null && now - probe.redirectedMicros > LOST_MICROS) {
+        probes.remove(entry.getKey());
+        return OptionalInt.of(entry.getKey());
       }
     }
-    return -1;
+    return OptionalInt.empty();
   }
 
-  /** Whether a worker of a shard has got through of late; if not, one is to be sent. */
-  boolean passed(int shard) {
-    Trial trial = trials.get(shard);
-    if (trial == null) {
-      trial = new Trial();
-      trial.wantedMicros = nowMicros;
-      trials.put(shard, trial);
+  /**
+   * Whether a shard's probe succeeded recently; if there is no probe, one is wanted from now on.
+   */
+  boolean succeeded(int shard) {
+    Probe probe = probes.get(shard);
+    if (probe == null) {
+      probes.put(shard, new Probe(nowMicros));
+      return false;
+    }
+    if (!probe.succeeded()) {
+      return false;
     }
-    boolean stale = trial.passedMicros != NONE && nowMicros - trial.passedMicros > PASSED_MICROS;
-    if (stale) {
-      trials.remove(shard);
+    if (nowMicros - probe.succeededMicros > VALID_MICROS) {
+      probes.remove(shard);
+      return false;
     }
-    return trial.passedMicros != NONE && !stale;
+    return true;
   }
 
-  /** Whether a worker that reports is the one to send. */
-  boolean send(int shard, String host, boolean idle) {
-    Trial trial = trials.get(shard);
-    if (trial == null || trial.host != null || trial.passedMicros != NONE) {
+  /** Whether a worker that sends a heartbeat is to be the canary; it is redirected if so. */
+  boolean selectAsCanary(int shard, String host, boolean idle) {
+    Probe probe = probes.get(shard);
+    if (probe == null || probe.canary != null || probe.succeeded()) {
       return false;
     }
-    if (!idle && nowMicros - trial.wantedMicros < IDLE_WAIT_MICROS) {
+    if (!idle && nowMicros - probe.wantedMicros < IDLE_WAIT_MICROS) {
       return false;
     }
-    trial.host = host;
-    trial.sentMicros = nowMicros;
+    probe.canary = host;
+    probe.redirectedMicros = nowMicros;
     return true;
   }
 
-  /** A worker reports; returns whether it was sent and has come back too late. */
-  boolean failed(int shard, String host) {
-    Trial trial = trials.get(shard);
-    if (trial == null || !host.equals(trial.host)) {
+  /** A worker sends a heartbeat; returns whether it is the canary and has come back too late. */
+  boolean failedBy(int shard, String host) {
+    Probe probe = probes.get(shard);
+    if (probe == null || !host.equals(probe.canary)) {
       return false;
     }
-    if (nowMicros - trial.sentMicros < ANSWER_WAIT_MICROS) {
-      trial.host = null;
-      trial.passedMicros = nowMicros;
+    if (nowMicros - probe.redirectedMicros < ANSWER_WAIT_MICROS) {
+      probe.canary = null;
+      probe.succeededMicros = nowMicros;
       return false;
     }
-    trials.remove(shard);
+    probes.remove(shard);
     return true;
   }
 
-  /** The shard is not ours any more. */
+  /** The shard is not owned any more. */
   void forget(int shard) {
-    trials.remove(shard);
+    probes.remove(shard);
   }
 }
--- a/src/main/java/gladeknot/connectivity/ControlAction.java
+++ b/src/main/java/gladeknot/connectivity/ControlAction.java
@@ -11,30 +11,30 @@
  * authority. {@link Authority#permits} is the one place where it is looked up.
  *
  * <p>What keeps running tasks alive and what ends cancelled ones depends on leases alone; the state
- * of links only ever takes new orders away.
+ * of links only ever takes new actions away.
  */
 public enum ControlAction {
-  /** Sending a run that is committed. */
+  /** Sending a committed start to a worker. */
   SEND_RUN(LEASE, FRESH_COPY, STATE_LINK),
   /** Deciding starts and claims, and committing them. */
   SCHEDULE(LEASE, SETTLED, LOADED, STATE_LINK),
-  /** Committing what has happened: ends, lapses, final states, records that move. */
+  /** Committing what has happened: ends, lost attempts, final states, segment migration. */
   COMMIT(LEASE, SETTLED, LOADED),
-  /** Stopping a task for another's sake or to drain a machine. */
+  /** Stopping a task to preempt it or to drain a machine. */
   KILL(LEASE),
-  /** Stopping a task whose job is over: wanted whoever acts for the shard. */
+  /** Stopping a task whose job is final: right whoever owns the shard. */
   KILL_CANCELLED(),
   /** Removing an ended task whose end is committed. */
   PURGE(LEASE),
-  /** Answering a report, which renews the worker's lease. */
+  /** Answering a heartbeat, which renews the worker's lease. */
   RENEW_LEASE(LEASE),
-  /** Renting machines and entering them. */
+  /** Scaling out, and registering machines. */
   SCALE_OUT(LEASE, SETTLED, LOADED, STATE_LINK),
-  /** Giving machines back, or lending them to another shard. */
+  /** Scaling in, or transferring machines to another shard. */
   SCALE_IN(LEASE, SETTLED, LOADED, STATE_LINK),
-  /** Changing a team's budgets. */
+  /** Changing a team's quota. */
   CHANGE_QUOTA(LEASE, SETTLED, LOADED, STATE_LINK),
-  /** Taking a shard, giving it away, or making its key's stamp new. */
+  /** Taking a shard, handing it over, or drawing a new term for it. */
   TRANSFER_SHARD(STATE_LINK),
   /** Answers to users that are not final; final ones need nothing. */
   ANSWER_USER(STATE_LINK);
--- a/src/main/java/gladeknot/connectivity/FailoverAdvisor.java
+++ b/src/main/java/gladeknot/connectivity/FailoverAdvisor.java
@@ -1,13 +1,15 @@
 package gladeknot.connectivity;
 
-/** Advises who should own a shard, by what the controllers reach. */
+import java.util.Optional;
+
+/** Advises which node should own a shard, by what the controllers reach. */
 public interface FailoverAdvisor {
-  /** Without knowledge of links: the rules by liveness and home alone. */
+  /** Without knowledge of links: liveness and the home alone decide. */
   FailoverAdvisor NONE =
       new FailoverAdvisor() {
         @Override
-        public String preferredOwner(int shard) {
-          return null;
+        public Optional<String> preferredOwner(int shard) {
+          return Optional.empty();
         }
 
         @Override
@@ -16,7 +18,7 @@
         }
 
         @Override
-        public boolean yieldedToThisNode(int shard, long incarnation, long term) {
+        public boolean relinquishedToThisNode(int shard, long incarnation, long term) {
           return false;
         }
 
@@ -31,24 +33,25 @@
         }
       };
 
-  /** Who should be given a shard of ours whose workers we don't reach; null if nobody is better. */
-  String preferredOwner(int shard);
+  /** The node that should own a shard whose workers this one doesn't reach, if one is better. */
+  Optional<String> preferredOwner(int shard);
 
-  /** Whether a shard that is ours may go back to its home controller. */
+  /** Whether an owned shard may return to its home controller. */
   boolean mayReturnHome(int shard, String home);
 
   /**
-   * Whether the owner of a shard, in the life that its key names, does nothing more under a term,
-   * and has named us to take it.
+   * Whether the owner of a shard, in the incarnation that its key names, has relinquished it to
+   * this node: it does nothing more under the given term.
    */
-  boolean yieldedToThisNode(int shard, long incarnation, long term);
+  boolean relinquishedToThisNode(int shard, long incarnation, long term);
 
-  /** How much longer we wait before taking a shard whose owner's lease has lapsed. */
+  /** How much longer to wait before the failover of a shard whose owner's lease has expired. */
   long failoverDelayMicros(int shard);
 
   /**
-   * Whether a state lease whose renewals are not answered is not to be renewed any more: where
-   * requests arrive and answers don't, it would hold for ever, and nobody could take our shards.
+   * Whether a state lease whose renewals are not answered must not be renewed any more: where
+   * requests arrive and answers don't, it would hold for ever, and no other node could take this
+   * one's shards.
    */
   boolean abandonsLease();
 }
--- a/src/main/java/gladeknot/connectivity/HeartbeatObserver.java
+++ b/src/main/java/gladeknot/connectivity/HeartbeatObserver.java
@@ -1,8 +1,8 @@
 package gladeknot.connectivity;
 
-/** Hears of the workers' reports and of the answers to them. */
+/** Is notified of the workers' heartbeats and of the responses to them. */
 public interface HeartbeatObserver {
-  /** Hears of nothing. */
+  /** Observes nothing. */
   HeartbeatObserver NONE =
       new HeartbeatObserver() {
         @Override
@@ -17,19 +17,19 @@
         }
       };
 
-  /** A report as it came: whose, and whether this controller acts for its shard. */
+  /** A heartbeat that arrived; {@code owned} if this controller acts for the worker's shard. */
   record Arrival(
       String host, String zone, int shard, boolean owned, long incarnation, long sequence) {}
 
-  /** A report has come that is newer than those before it. */
+  /** A heartbeat has arrived that is newer than those before it. */
   void onHeartbeat(Arrival arrival);
 
-  /** A report of a worker of ours is answered with 200. */
+  /** The heartbeat of a worker of an owned shard is answered with 200. */
   void onAnswered(String host);
 
   /**
-   * The controller that a worker of ours is sent to instead of an answer, to see whether it gets
-   * through there; null if it is answered here.
+   * The controller to which a worker of an owned shard is redirected as a canary, to see whether it
+   * gets through there; null, as for nearly every heartbeat, if it is answered here.
    */
   String redirect(Arrival arrival, boolean idle);
 }
--- a/src/main/java/gladeknot/connectivity/LinkId.java
+++ b/src/main/java/gladeknot/connectivity/LinkId.java
@@ -6,20 +6,28 @@
 public record LinkId(Kind kind, String name) {
   /** What is at the other end. */
   public enum Kind {
+    /** The state service. */
     STATE,
+    /** The cloud. */
     CLOUD,
+    /** Another controller. */
     PEER,
-    /** The workers of the shards that are ours, as a population by zone. */
+    /** The workers of the owned shards, as a population by zone. */
     WORKERS
   }
 
+  /** The link to the state service. */
   public static final LinkId STATE = new LinkId(Kind.STATE, "");
+
+  /** The link to the cloud. */
   public static final LinkId CLOUD = new LinkId(Kind.CLOUD, "");
 
+  /** The link to another controller. */
   public static LinkId peer(String node) {
     return new LinkId(Kind.PEER, node);
   }
 
+  /** The link to the workers of a zone. */
   public static LinkId workers(String zone) {
     return new LinkId(Kind.WORKERS, zone);
   }
--- a/src/main/java/gladeknot/connectivity/LinkTable.java
+++ b/src/main/java/gladeknot/connectivity/LinkTable.java
@@ -6,17 +6,18 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** All links of this controller with what is known of each direction. */
+/** All links of this controller, with the health of each direction. */
 final class LinkTable {
   private static final Logger LOG = LoggerFactory.getLogger(LinkTable.class);
 
-  /** Beyond the members and services, so many zones are followed; others count as one. */
+  /** So many links are followed; of further ones nothing is kept. */
   private static final int MAX_LINKS = 4096;
 
-  /** What is told of one direction of one link. */
+  /** The state of one direction of one link. */
   record DirectionState(
       LinkId link, Direction direction, Verdict verdict, long sinceMicros, long provenMicros) {}
 
@@ -39,7 +40,7 @@
             settings.damping().mostSuppressedMicros());
   }
 
-  /** What is known of a direction; an entry is made for a link that is new. */
+  /** The health of a direction; an entry is made for a new link. */
   DirectionHealth health(LinkId link, Direction direction) {
     Map<Direction, DirectionHealth> directions = links.get(link);
     if (directions == null) {
@@ -52,7 +53,7 @@
     return directions.computeIfAbsent(direction, d -> new DirectionHealth(limits, damping));
   }
 
-  /** Nothing is known of a link any more. */
+  /** Drops what is known of a link. */
   void forget(LinkId link) {
     links.remove(link);
   }
@@ -62,7 +63,7 @@
     return new FlapDamping(damping);
   }
 
-  /** Draws all verdicts anew. */
+  /** Updates all verdicts. */
   void update(long nowMicros) {
     links.forEach(
         (link, directions) ->
@@ -70,23 +71,28 @@
                 (direction, health) -> {
                   Verdict before = health.verdict();
                   if (health.update(nowMicros)) {
-                    LOG.debug("{} {}: {} after {}", link, direction, health.verdict(), before);
+                    LOG.debug(
+                        "link verdict changed link={} direction={} from={} to={}",
+                        link,
+                        direction,
+                        before,
+                        health.verdict());
                   }
                 }));
   }
 
-  /** The first direction of a link that is unreachable; null if there is none. */
-  DirectionState unreachable(LinkId link) {
+  /** The first direction of a link that is unreachable, if there is one. */
+  Optional<DirectionState> unreachable(LinkId link) {
     Map<Direction, DirectionHealth> directions = links.getOrDefault(link, Map.of());
     for (Map.Entry<Direction, DirectionHealth> entry : directions.entrySet()) {
       if (!entry.getValue().verdict().usable()) {
-        return state(link, entry.getKey(), entry.getValue());
+        return Optional.of(state(link, entry.getKey(), entry.getValue()));
       }
     }
-    return null;
+    return Optional.empty();
   }
 
-  /** Whether everything that is known of a link has been well for long enough. */
+  /** Whether every known direction of a link is steady. */
   boolean steady(LinkId link) {
     Map<Direction, DirectionHealth> directions = links.getOrDefault(link, Map.of());
     return !directions.isEmpty()
--- a/src/main/java/gladeknot/connectivity/PeerLinkObserver.java
+++ b/src/main/java/gladeknot/connectivity/PeerLinkObserver.java
@@ -5,15 +5,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.TreeMap;
 
 /**
- * Draws evidence on the links to the other controllers. A record that comes proves their direction
- * to us. What a record says to have heard of us proves ours to them, also when a third controller
- * passes it on, so that a link that fails one way is told from one that fails both ways.
+ * Derives evidence on the links to the other controllers. A record that arrives proves the inbound
+ * direction. The newest of this controller's records that a peer reports to have received proves
+ * the outbound direction, also when a third controller relays the report, so that a link that fails
+ * one way is distinguished from one that fails both ways.
  */
 final class PeerLinkObserver {
-  /** Records whose time of sending is remembered. */
+  /** Own records whose time of sending is remembered. */
   private static final int REMEMBERED = 128;
 
   /** A record is overdue after so many intervals. */
@@ -24,7 +27,7 @@
     private PeerReach reach;
     private long receivedMicros;
 
-    /** The newest of our records that it has, by its own word or another's. */
+    /** The newest of this controller's records that it has received, by any report. */
     private long echoedSequence;
   }
 
@@ -43,24 +46,25 @@
     this.links = links;
   }
 
-  /** Names this life of the process, by the time of day at which it began. */
+  /** Identifies this life of the process by the time of day at which it began. */
   void begin(long wallMicros) {
     life = wallMicros;
   }
 
+  /** This life of the process, as {@link #begin} named it. */
   long life() {
     return life;
   }
 
-  /** The number of the record that is sent now. */
+  /** Numbers the record that is sent now. */
   long nextSequence() {
     sequence++;
     sentMicros[(int) (sequence % REMEMBERED)] = nowMicros;
     return sequence;
   }
 
-  /** What has been heard, here and at those who told of it, for the next record. */
-  List<Heard> heard() {
+  /** Which records have been received, here and by the peers' reports, for the next record. */
+  List<Heard> observations() {
     List<Heard> rows = new ArrayList<>();
     peers.forEach(
         (node, peer) -> rows.add(new Heard(self, node, peer.reach.life(), peer.reach.sequence())));
@@ -77,8 +81,8 @@
     return rows.subList(0, Math.min(rows.size(), PeerReach.MAX_ENTRIES));
   }
 
-  /** Takes in a record; returns whether it is newer than those before it. */
-  boolean received(String from, PeerReach reach) {
+  /** Takes in a peer's record; returns whether it is newer than those before it. */
+  boolean onReach(String from, PeerReach reach) {
     Peer peer = peers.computeIfAbsent(from, f -> new Peer());
     PeerReach last = peer.reach;
     if (last != null && !newer(peer, reach)) {
@@ -89,15 +93,15 @@
     links.health(LinkId.peer(from), Direction.INBOUND).proven(nowMicros);
     for (Heard row : reach.heard()) {
       Peer observer = peers.get(row.observer());
-      boolean ofUs = row.subject().equals(self) && row.life() == life;
-      if (ofUs && observer != null) {
+      boolean ofThisNode = row.subject().equals(self) && row.life() == life;
+      if (ofThisNode && observer != null) {
         echoed(row.observer(), observer, row.sequence());
       }
     }
     return true;
   }
 
-  /** A late copy is not; a new life is, also by a clock that went back while nothing was heard. */
+  /** A new life is newer, even with a clock that was set back while no records arrived. */
   private boolean newer(Peer peer, PeerReach reach) {
     if (reach.life() == peer.reach.life()) {
       return reach.sequence() > peer.reach.sequence();
@@ -115,7 +119,7 @@
     }
   }
 
-  /** Finds what is overdue. */
+  /** Advances the time and finds what is overdue. */
   void tick(long now) {
     nowMicros = now;
     long overdueAfter = (long) (heartbeatMicros * OVERDUE_INTERVALS);
@@ -129,14 +133,14 @@
           long next = peer.echoedSequence + 1;
           boolean remembered = next <= sequence && sequence - next < REMEMBERED;
           long sent = sentMicros[(int) (next % REMEMBERED)];
-          // Without any word from it, by whomever, nothing is known of this direction.
+          // Without any report of that peer nothing is known of this direction.
           if (remembered && witnessed(node, sent + overdueAfter)) {
             links.health(LinkId.peer(node), Direction.OUTBOUND).overdue(sent);
           }
         });
   }
 
-  /** Whether a controller's own word, direct or passed on, has come here since some moment. */
+  /** Whether a report of a controller has arrived since some moment, directly or relayed. */
   private boolean witnessed(String node, long sinceMicros) {
     if (nowMicros < sinceMicros) {
       return false;
@@ -154,15 +158,15 @@
     return nowMicros - peer.receivedMicros <= heartbeatMicros * OVERDUE_INTERVALS;
   }
 
-  /** How long ago a controller was heard; below 0 if it never was. */
-  long heardAgoMicros(String node) {
+  /** How long ago the newest record of a controller arrived, if one ever did. */
+  OptionalLong sinceLastRecordMicros(String node) {
     Peer peer = peers.get(node);
-    return peer == null ? -1 : nowMicros - peer.receivedMicros;
+    return peer == null ? OptionalLong.empty() : OptionalLong.of(nowMicros - peer.receivedMicros);
   }
 
-  /** The newest record of a controller that is not older than its use; null if there is none. */
-  PeerReach freshReach(String node) {
+  /** The newest record of a controller, unless it is overdue. */
+  Optional<PeerReach> freshReach(String node) {
     Peer peer = peers.get(node);
-    return peer != null && fresh(peer) ? peer.reach : null;
+    return peer != null && fresh(peer) ? Optional.of(peer.reach) : Optional.empty();
   }
 }
--- /dev/null
+++ b/src/main/java/gladeknot/connectivity/ReachReporter.java
@@ -0,0 +1,85 @@
+package gladeknot.connectivity;
+
+import gladeknot.outbox.Outbox;
+import gladeknot.peer.PeerMessage;
+import gladeknot.peer.PeerReach;
+import gladeknot.peer.PeerReach.ShardContact;
+import gladeknot.peer.PeerReach.ZoneReach;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/** Reports to the other controllers what this one reaches, and what it offers and accepts. */
+final class ReachReporter {
+  private final String node;
+  private final Outbox outbox;
+  private final LinkTable links;
+  private final WorkerLinkObserver workers;
+  private final PeerLinkObserver peers;
+  private final FailoverOffers offers;
+  private final long intervalMicros;
+  private long nextReportMicros;
+
+  ReachReporter(
+      String node,
+      Outbox outbox,
+      LinkTable links,
+      WorkerLinkObserver workers,
+      PeerLinkObserver peers,
+      FailoverOffers offers,
+      long intervalMicros) {
+    this.node = node;
+    this.outbox = outbox;
+    this.links = links;
+    this.workers = workers;
+    this.peers = peers;
+    this.offers = offers;
+    this.intervalMicros = intervalMicros;
+  }
+
+  /** Whether the interval since the last report is over. */
+  boolean isDue(long nowMicros) {
+    return nowMicros >= nextReportMicros;
+  }
+
+  /** Sends a report now. */
+  void report(long nowMicros) {
+    nextReportMicros = nowMicros + intervalMicros;
+    PeerReach reach =
+        new PeerReach(
+            peers.life(),
+            peers.nextSequence(),
+            links.steady(LinkId.STATE),
+            peers.observations(),
+            zones(),
+            contacts(),
+            offers.offers(),
+            offers.accepts());
+    outbox.sendToPeers(PeerMessage.ofReach(node, reach));
+  }
+
+  /** How well this controller reaches the workers of a shard, from 0 to 100. */
+  int score(int shard, Map<String, Integer> workersByZone) {
+    return ReachScore.of(workersByZone, zones(), contacts(), shard);
+  }
+
+  private List<ZoneReach> zones() {
+    Map<String, Integer> percents = new TreeMap<>();
+    for (LinkTable.DirectionState state : links.all()) {
+      if (state.link().kind() == LinkId.Kind.WORKERS) {
+        percents.merge(state.link().name(), ReachScore.of(state.verdict()), Math::min);
+      }
+    }
+    return percents.entrySet().stream()
+        .limit(PeerReach.MAX_ENTRIES)
+        .map(zone -> new ZoneReach(zone.getKey(), zone.getValue()))
+        .toList();
+  }
+
+  private List<ShardContact> contacts() {
+    return workers.remoteContacts().entrySet().stream()
+        .limit(PeerReach.MAX_ENTRIES)
+        .map(shard -> new ShardContact(shard.getKey(), shard.getValue()))
+        .toList();
+  }
+}
--- a/src/main/java/gladeknot/connectivity/Requirement.java
+++ b/src/main/java/gladeknot/connectivity/Requirement.java
@@ -1,14 +1,14 @@
 package gladeknot.connectivity;
 
-/** One thing that must hold for an order to be given. */
+/** A condition that must hold for an action to be taken. */
 public enum Requirement {
-  /** The shard is ours, not being given away, and our state lease surely holds. */
+  /** The shard is owned, not being handed over, and the state lease surely holds. */
   LEASE("the state lease does not hold, or the shard is not ours"),
   /** No transaction for the shard is without an answer. */
   SETTLED("a transaction got no answer, and has not been read back"),
-  /** The copy of the state has been read. */
+  /** The watch cache is loaded. */
   LOADED("the state is not read yet"),
-  /** The copy is new enough to show every cancellation that matters. */
+  /** The watch cache is recent enough to show every cancellation that matters. */
   FRESH_COPY("the copy of the state is too old"),
   /** Both directions of the link to the state service can be relied on, and it serves. */
   STATE_LINK("the state service can't be reached");
@@ -19,7 +19,7 @@
     this.missing = missing;
   }
 
-  /** What to say when it does not hold. */
+  /** The text for users and operators when it does not hold. */
   public String missing() {
     return missing;
   }
--- a/src/main/java/gladeknot/connectivity/ServiceLinkObserver.java
+++ b/src/main/java/gladeknot/connectivity/ServiceLinkObserver.java
@@ -7,20 +7,21 @@
 import java.util.Map;
 
 /**
- * Draws evidence on the links to the state service and the cloud from the calls made there. An
+ * Derives evidence on the links to the state service and the cloud from the calls made there. An
  * answer proves both directions for the moment at which its request was sent; a watch that is
  * answered late proves besides that answers come in now.
  */
 final class ServiceLinkObserver implements CallObserver {
   private static final String WATCH = "/follow";
-  private static final int REFUSED = 503;
+  private static final int UNAVAILABLE = 503;
 
-  private record Open(LinkId link, long sentMicros, boolean watch) {}
+  /** A call without a reply yet. */
+  private record OpenCall(LinkId link, long sentMicros, boolean watch) {}
 
   private final LinkTable links;
   private final String stateAddress;
   private final String cloudAddress;
-  private final Map<Long, Open> open = new HashMap<>();
+  private final Map<Long, OpenCall> open = new HashMap<>();
   private long nowMicros;
 
   ServiceLinkObserver(Settings settings, LinkTable links) {
@@ -29,7 +30,8 @@
     this.cloudAddress = settings.cloudAddress();
   }
 
-  void now(long micros) {
+  /** Sets the time by which evidence is dated. */
+  void setTime(long micros) {
     nowMicros = micros;
   }
 
@@ -42,13 +44,13 @@
       link = LinkId.CLOUD;
     }
     if (link != null) {
-      open.put(call.id(), new Open(link, nowMicros, call.path().startsWith(WATCH)));
+      open.put(call.id(), new OpenCall(link, nowMicros, call.path().startsWith(WATCH)));
     }
   }
 
   @Override
   public void replied(long callId, int status) {
-    Open call = open.remove(callId);
+    OpenCall call = open.remove(callId);
     if (call == null) {
       return;
     }
@@ -65,7 +67,7 @@
     }
     outbound.proven(call.sentMicros());
     inbound.proven(call.watch() ? nowMicros : call.sentMicros());
-    if (status == REFUSED) {
+    if (status == UNAVAILABLE) {
       service.overdue(call.sentMicros());
     } else {
       service.proven(call.sentMicros());
--- a/src/main/java/gladeknot/connectivity/ShardView.java
+++ b/src/main/java/gladeknot/connectivity/ShardView.java
@@ -1,19 +1,21 @@
 package gladeknot.connectivity;
 
 import java.util.Collection;
+import java.util.Optional;
 
-/** What is known of shards, their owners and their workers, by the copy of the state. */
+/** The shards, their owners and their workers, by the watch cache. */
 public interface ShardView {
-  /** A worker as far as it is needed to reach it; the endpoint may be unknown, and null. */
+  /** How a worker is reached; the endpoint is null while it is unknown. */
   record WorkerAddress(String host, String zone, String endpoint) {}
 
+  /** How many shards there are; they are numbered from 0. */
   int shardCount();
 
-  /** The controller that a shard belongs to while all is well. */
-  String home(int shard);
+  /** The controller that owns a shard while all is well. */
+  String homeNode(int shard);
 
-  /** The owner by the shard's key, alive or not; null if there is none. */
-  String owner(int shard);
+  /** The owner by the shard's key, alive or not. */
+  Optional<String> owner(int shard);
 
   /** The owner's incarnation by the shard's key. */
   long incarnation(int shard);
@@ -22,19 +24,19 @@
   long term(int shard);
 
   /**
-   * The highest term that a shard of ours may have: a write by which we took it may have been
-   * carried out, and its answer lost.
+   * The highest term that an owned shard may have: a write of its key may have been executed, and
+   * its answer lost.
    */
   long highestTerm(int shard);
 
-  /** Whether a shard is ours in this life of the process. */
+  /** Whether this incarnation of this controller owns a shard. */
   boolean isOwned(int shard);
 
   /**
-   * Stops everything that is done for a shard of ours, under every term up to {@link #highestTerm},
-   * until its key has changed.
+   * Stops all action for an owned shard, under every term up to {@link #highestTerm}, until its key
+   * has changed.
    */
-  void yield(int shard);
+  void relinquish(int shard);
 
   /** The workers of a shard. */
   Collection<WorkerAddress> workers(int shard);
--- a/src/main/java/gladeknot/connectivity/StatusReport.java
+++ b/src/main/java/gladeknot/connectivity/StatusReport.java
@@ -9,8 +9,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalLong;
 
-/** What the operators' listener shows: members, shards, links, authority and its last changes. */
+/** The status for operators as JSON: members, shards, links, authority and its last changes. */
 final class StatusReport {
   private static final double MICROS_A_SECOND = 1e6;
 
@@ -77,38 +78,32 @@
   private List<Object> members() {
     List<Object> members = new ArrayList<>();
     for (Settings.Member member : settings.members()) {
-      long heardAgo = peers.heardAgoMicros(member.node());
-      PeerReach reach = peers.freshReach(member.node());
+      OptionalLong heardAgo = peers.sinceLastRecordMicros(member.node());
+      Boolean stateSteady =
+          peers.freshReach(member.node()).map(PeerReach::stateSteady).orElse(null);
       members.add(
           Json.of(
               "node",
               member.node(),
               "heardAgoS",
-              heardAgo < 0 ? null : seconds(heardAgo),
+              heardAgo.isPresent() ? seconds(heardAgo.getAsLong()) : null,
               "stateSteady",
-              reach == null ? null : reach.stateSteady()));
+              stateSteady));
     }
     return members;
   }
 
   private List<Object> shards(List<ShardOffer> offers) {
-    List<Object> told = new ArrayList<>();
+    List<Object> rows = new ArrayList<>();
     for (int shard = 0; shard < shards.shardCount(); shard++) {
-      int number = shard;
-      String offeredTo =
-          offers.stream()
-              .filter(o -> o.shard() == number)
-              .map(ShardOffer::to)
-              .findFirst()
-              .orElse(null);
-      told.add(
+      rows.add(
           Json.of(
               "shard",
               shard,
               "home",
-              shards.home(shard),
+              shards.homeNode(shard),
               "owner",
-              shards.owner(shard),
+              shards.owner(shard).orElse(null),
               "term",
               shards.term(shard),
               "workers",
@@ -118,16 +113,26 @@
               "cause",
               shards.isOwned(shard) ? authority.cause(shard) : "",
               "offeredTo",
-              offeredTo));
+              offeredTo(shard, offers)));
     }
-    return told;
+    return rows;
+  }
+
+  /** The node to which a shard is offered; null, which is shown as such, if it is not offered. */
+  private static String offeredTo(int shard, List<ShardOffer> offers) {
+    for (ShardOffer offer : offers) {
+      if (offer.shard() == shard) {
+        return offer.to();
+      }
+    }
+    return null;
   }
 
   private List<Object> links(long nowMicros) {
-    List<Object> told = new ArrayList<>();
+    List<Object> rows = new ArrayList<>();
     for (LinkTable.DirectionState state : links.all()) {
       double penalty = links.health(state.link(), state.direction()).penalty(nowMicros);
-      told.add(
+      rows.add(
           Json.of(
               "link",
               state.link().toString(),
@@ -142,13 +147,13 @@
               "penalty",
               Math.round(penalty)));
     }
-    return told;
+    return rows;
   }
 
   private static List<Object> changes(List<AuthorityLog.Change> changes) {
-    List<Object> told = new ArrayList<>();
+    List<Object> rows = new ArrayList<>();
     for (AuthorityLog.Change change : changes) {
-      told.add(
+      rows.add(
           Json.of(
               "time",
               time(change.wallMicros()),
@@ -161,6 +166,6 @@
               "cause",
               change.cause()));
     }
-    return told;
+    return rows;
   }
 }
--- a/src/main/java/gladeknot/connectivity/Verdict.java
+++ b/src/main/java/gladeknot/connectivity/Verdict.java
@@ -6,12 +6,13 @@
 public enum Verdict {
   /** Nothing has been sent or received yet. */
   UNKNOWN,
+  /** What was sent last got through. */
   REACHABLE,
   /** Something has been overdue for a while. */
   SUSPECT,
   /** Something has been overdue for so long that nothing new may rely on it. */
   UNREACHABLE,
-  /** Works again, and has yet to show that it goes on working. */
+  /** Works again, but not for long enough yet. */
   PROBATION;
 
   /** Whether what is sent now may be relied on to arrive. */
@@ -19,7 +20,7 @@
     return this != UNREACHABLE;
   }
 
-  /** Whether it has worked for long enough to take on a shard by it. */
+  /** Whether it has worked for long enough to base the failover of a shard on it. */
   public boolean steady() {
     return this == REACHABLE;
   }
--- a/src/main/java/gladeknot/connectivity/WorkerLinkObserver.java
+++ b/src/main/java/gladeknot/connectivity/WorkerLinkObserver.java
@@ -1,5 +1,6 @@
 package gladeknot.connectivity;
 
+import gladeknot.connectivity.HeartbeatObserver.Arrival;
 import gladeknot.settings.Settings;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -10,22 +11,22 @@
 import java.util.TreeMap;
 
 /**
- * Draws evidence on the links to the workers, by zone: reports that come show that they reach us; a
- * worker that goes on reporting here without a pause has taken our answer, and one that comes back
- * after it has reported elsewhere has not. A zone's link fails in a direction when half of its
- * workers do.
+ * Derives evidence on the links to the workers, by zone. Heartbeats that arrive prove the inbound
+ * direction. A worker that continues here without a pause has received this controller's response,
+ * which proves the outbound direction; one that comes back after heartbeats to other controllers
+ * has not. A zone's link fails in a direction when half of its workers do.
  */
-final class WorkerLinkObserver implements HeartbeatObserver {
-  /** A worker waits so long for an answer before it goes to the next controller. */
+final class WorkerLinkObserver {
+  /** A worker waits so long for a response before it tries the next controller. */
   private static final long ANSWER_WAIT_MICROS = 4_000_000;
 
-  /** Beyond the pace of reports: for answers that are held, and for the way. */
+  /** Added to the heartbeat interval: for long polls and the time on the way. */
   private static final long GRACE_MICROS = 2_000_000;
 
-  /** Reports come within so many times their usual interval. */
-  private static final double LATEST_REPORT = 1.25;
+  /** Heartbeats arrive within so many times their usual interval. */
+  private static final double LATEST_HEARTBEAT_INTERVALS = 1.25;
 
-  /** For so long a report counts as contact with a worker of another's shard. */
+  /** For so long a heartbeat counts as contact with a worker of a remote shard. */
   private static final long CONTACT_MICROS = 10_000_000;
 
   private static final long SWEEP_MICROS = 500_000;
@@ -36,110 +37,106 @@
   private static final class Contact {
     private String zone;
     private int shard;
-    private boolean ours;
-    private long tenure;
-    private long tick;
-    private long reportMicros;
+    private boolean owned;
+    private long incarnation;
+    private long sequence;
+    private long heartbeatMicros;
     private long answeredMicros = NONE;
 
-    /** The report whose answer was surely taken, and since when answers were not. */
-    private long heardMicros = NONE;
+    /** The newest heartbeat whose response was received, and since when responses were lost. */
+    private long confirmedMicros = NONE;
 
-    private long deafSinceMicros = NONE;
+    private long unreachedSinceMicros = NONE;
 
-    private boolean deaf() {
-      return deafSinceMicros != NONE;
+    private boolean unreached() {
+      return unreachedSinceMicros != NONE;
     }
   }
 
   /**
-   * How many workers of a zone are ours, and how many of them are silent or deaf. What all the
-   * others have shown counts from the oldest of their reports: those that are silent by now must
-   * not look as if they had been heard since.
+   * How many workers of owned shards a zone has, how many of them have timed out, and how many are
+   * unreached by responses. What all the others have proved counts from the oldest of their
+   * heartbeats: those that have timed out by now must not look as if they were proved since.
    */
   private static final class Population {
     private int all;
-    private int silent;
-    private int deaf;
-    private long firstSilentMicros = Long.MAX_VALUE;
-    private long firstDeafMicros = Long.MAX_VALUE;
-    private long allReportedMicros = Long.MAX_VALUE;
-    private long allHeardMicros = Long.MAX_VALUE;
+    private int timedOut;
+    private int unreached;
+    private long firstTimedOutMicros = Long.MAX_VALUE;
+    private long firstUnreachedMicros = Long.MAX_VALUE;
+    private long allInboundMicros = Long.MAX_VALUE;
+    private long allConfirmedMicros = Long.MAX_VALUE;
   }
 
   private final LinkTable links;
-  private final long latestReportMicros;
+  private final long latestHeartbeatMicros;
   private final Map<String, Contact> contacts = new LinkedHashMap<>();
   private long nowMicros;
   private long nextSweepMicros;
 
   WorkerLinkObserver(Settings settings, LinkTable links) {
     this.links = links;
-    this.latestReportMicros = (long) (settings.workers().heartbeatMicros() * LATEST_REPORT);
+    this.latestHeartbeatMicros =
+        (long) (settings.workers().heartbeatMicros() * LATEST_HEARTBEAT_INTERVALS);
   }
 
-  @Override
-  public void onHeartbeat(Arrival arrival) {
+  /** A heartbeat has arrived that is newer than those before it. */
+  void onHeartbeat(Arrival arrival) {
     Contact contact = contacts.computeIfAbsent(arrival.host(), h -> new Contact());
-    if (contact.ours && arrival.owned()) {
+    if (contact.owned && arrival.owned()) {
       judgeAnswer(contact, arrival);
     } else {
-      contact.deafSinceMicros = NONE;
-      contact.heardMicros = NONE;
+      contact.unreachedSinceMicros = NONE;
+      contact.confirmedMicros = NONE;
       contact.answeredMicros = NONE;
     }
     contact.zone = arrival.zone();
     contact.shard = arrival.shard();
-    contact.ours = arrival.owned();
-    contact.tenure = arrival.incarnation();
-    contact.tick = arrival.sequence();
-    contact.reportMicros = nowMicros;
+    contact.owned = arrival.owned();
+    contact.incarnation = arrival.incarnation();
+    contact.sequence = arrival.sequence();
+    contact.heartbeatMicros = nowMicros;
   }
 
-  /** Concludes from a report whether the answer to the one before it was taken. */
+  /** Concludes from a heartbeat whether the response to the one before it was received. */
   private void judgeAnswer(Contact contact, Arrival arrival) {
-    if (contact.answeredMicros < contact.reportMicros) {
+    if (contact.answeredMicros < contact.heartbeatMicros) {
       return;
     }
-    boolean prompt = nowMicros - contact.reportMicros < ANSWER_WAIT_MICROS;
+    boolean prompt = nowMicros - contact.heartbeatMicros < ANSWER_WAIT_MICROS;
     boolean elsewhere =
-        arrival.sequence() > contact.tick + 1 || arrival.incarnation() > contact.tenure;
+        arrival.sequence() > contact.sequence + 1 || arrival.incarnation() > contact.incarnation;
     if (prompt || !elsewhere) {
-      contact.deafSinceMicros = NONE;
-      contact.heardMicros = contact.reportMicros;
-    } else if (!contact.deaf()) {
-      contact.deafSinceMicros = contact.reportMicros;
+      contact.unreachedSinceMicros = NONE;
+      contact.confirmedMicros = contact.heartbeatMicros;
+    } else if (!contact.unreached()) {
+      contact.unreachedSinceMicros = contact.heartbeatMicros;
     }
   }
 
-  @Override
-  public void onAnswered(String host) {
+  /** The heartbeat of a worker of an owned shard is answered with 200. */
+  void onAnswered(String host) {
     Contact contact = contacts.get(host);
     if (contact != null) {
       contact.answeredMicros = nowMicros;
     }
   }
 
-  /** The shard has ceased to be ours: what its workers do here says nothing of our answers. */
-  void lost(int shard) {
+  /** The shard is not owned any more: its workers' heartbeats here prove nothing any more. */
+  void onReleased(int shard) {
     Set<String> zones = new HashSet<>();
     for (Contact contact : contacts.values()) {
-      if (contact.ours && contact.shard == shard) {
+      if (contact.owned && contact.shard == shard) {
         zones.add(contact.zone);
       }
     }
-    contacts.values().removeIf(c -> c.ours && c.shard == shard);
-    contacts.values().stream().filter(c -> c.ours).forEach(c -> zones.remove(c.zone));
-    // No worker of ours is left there: what was concluded would stand for ever.
+    contacts.values().removeIf(c -> c.owned && c.shard == shard);
+    contacts.values().stream().filter(c -> c.owned).forEach(c -> zones.remove(c.zone));
+    // No owned worker is left in these zones: their last verdicts would stand for ever.
     zones.forEach(zone -> links.forget(LinkId.workers(zone)));
   }
 
-  @Override
-  public String redirect(Arrival arrival, boolean idle) {
-    return null;
-  }
-
-  /** Looks over all contacts and passes what they show to the zones' links. */
+  /** Advances the time, and passes what all contacts show to the zones' links. */
   void tick(long now) {
     nowMicros = now;
     if (now < nextSweepMicros) {
@@ -149,8 +146,8 @@
     Map<String, Population> zones = new TreeMap<>();
     for (Iterator<Contact> all = contacts.values().iterator(); all.hasNext(); ) {
       Contact contact = all.next();
-      long age = now - contact.reportMicros;
-      if (contact.ours) {
+      long age = now - contact.heartbeatMicros;
+      if (contact.owned) {
         count(zones.computeIfAbsent(contact.zone, z -> new Population()), contact, age);
       } else if (age > CONTACT_MICROS) {
         all.remove();
@@ -161,57 +158,53 @@
 
   private void count(Population population, Contact contact, long age) {
     population.all++;
-    if (age > latestReportMicros + GRACE_MICROS) {
-      population.silent++;
-      population.firstSilentMicros =
-          Math.min(population.firstSilentMicros, contact.reportMicros + latestReportMicros);
+    if (age > latestHeartbeatMicros + GRACE_MICROS) {
+      population.timedOut++;
+      population.firstTimedOutMicros =
+          Math.min(population.firstTimedOutMicros, contact.heartbeatMicros + latestHeartbeatMicros);
       return;
     }
-    population.allReportedMicros = Math.min(population.allReportedMicros, contact.reportMicros);
-    if (contact.deaf()) {
-      population.deaf++;
-      population.firstDeafMicros = Math.min(population.firstDeafMicros, contact.deafSinceMicros);
-    } else if (contact.heardMicros != NONE) {
-      population.allHeardMicros = Math.min(population.allHeardMicros, contact.heardMicros);
+    population.allInboundMicros = Math.min(population.allInboundMicros, contact.heartbeatMicros);
+    if (contact.unreached()) {
+      population.unreached++;
+      population.firstUnreachedMicros =
+          Math.min(population.firstUnreachedMicros, contact.unreachedSinceMicros);
+    } else if (contact.confirmedMicros != NONE) {
+      population.allConfirmedMicros =
+          Math.min(population.allConfirmedMicros, contact.confirmedMicros);
     }
   }
 
   private void conclude(String zone, Population population) {
     DirectionHealth inbound = links.health(LinkId.workers(zone), Direction.INBOUND);
     DirectionHealth outbound = links.health(LinkId.workers(zone), Direction.OUTBOUND);
-    if (2 * population.silent >= population.all) {
-      inbound.overdue(population.firstSilentMicros);
+    if (2 * population.timedOut >= population.all) {
+      inbound.overdue(population.firstTimedOutMicros);
       return;
     }
-    inbound.proven(population.allReportedMicros);
-    if (2 * population.deaf >= population.all) {
-      outbound.overdue(population.firstDeafMicros);
-    } else if (population.allHeardMicros != Long.MAX_VALUE) {
-      outbound.proven(population.allHeardMicros);
+    inbound.proven(population.allInboundMicros);
+    if (2 * population.unreached >= population.all) {
+      outbound.overdue(population.firstUnreachedMicros);
+    } else if (population.allConfirmedMicros != Long.MAX_VALUE) {
+      outbound.proven(population.allConfirmedMicros);
     }
   }
 
-  /** A worker of ours has been given back, or lent to another shard. */
-  void forget(String host) {
-    contacts.remove(host);
-  }
-
-  /** The workers that are followed as ours. */
-  Iterable<String> ours() {
-    return contacts.entrySet().stream()
-        .filter(e -> e.getValue().ours)
-        .map(Map.Entry::getKey)
-        .toList();
+  /** Of the workers of owned shards, keeps those named; the others were released or moved. */
+  void retainOwned(Set<String> hosts) {
+    contacts
+        .entrySet()
+        .removeIf(contact -> contact.getValue().owned && !hosts.contains(contact.getKey()));
   }
 
-  /** How many workers of each shard that is another's have reported here of late. */
-  Map<Integer, Integer> strays() {
-    Map<Integer, Integer> strays = new HashMap<>();
+  /** How many workers of each remote shard have sent heartbeats here recently. */
+  Map<Integer, Integer> remoteContacts() {
+    Map<Integer, Integer> remoteContacts = new HashMap<>();
     for (Contact contact : contacts.values()) {
-      if (!contact.ours && nowMicros - contact.reportMicros <= CONTACT_MICROS) {
-        strays.merge(contact.shard, 1, Integer::sum);
+      if (!contact.owned && nowMicros - contact.heartbeatMicros <= CONTACT_MICROS) {
+        remoteContacts.merge(contact.shard, 1, Integer::sum);
       }
     }
-    return strays;
+    return remoteContacts;
   }
 }
--- a/src/main/java/gladeknot/membership/ShardTransfers.java
+++ b/src/main/java/gladeknot/membership/ShardTransfers.java
@@ -103,7 +103,7 @@
 
   /** Takes a shard whose live owner lacks the state service and has ceased to act for it. */
   private boolean claimRelinquished(int shard, ShardRecord record) {
-    return advisor.yieldedToThisNode(shard, record.incarnation(), record.term())
+    return advisor.relinquishedToThisNode(shard, record.incarnation(), record.term())
         && claim(shard, Map.of());
   }
 
@@ -133,32 +133,38 @@
     if (shards.needsNewRevision(shard)) {
       return claim(shard, Map.of());
     }
-    String successor = successor(shard);
-    String liveness = successor == null ? null : MembershipKeys.liveness(successor);
-    Entry entry = successor == null ? null : stateStore.get(liveness);
+    Optional<String> successor = successor(shard);
+    return successor.isPresent() && handOver(shard, successor.get());
+  }
+
+  /** Hands a shard over, if the new owner is alive; returns whether that has to come first. */
+  private boolean handOver(int shard, String successor) {
+    String liveness = MembershipKeys.liveness(successor);
+    Entry entry = stateStore.get(liveness);
     if (entry == null) {
       return false;
     }
     // From here until the outcome is known no worker of the shard is answered, so that its new
     // owner may count from the change of hands.
     long incarnation = MembershipCodec.liveness(entry).incarnation();
-    if (transaction.trySend(shard, successor, incarnation, Map.of(liveness, entry.modRevision()))) {
+    Map<String, Long> stillAlive = Map.of(liveness, entry.modRevision());
+    if (transaction.trySend(shard, successor, incarnation, stillAlive)) {
       shards.beginHandOver(shard);
     }
     return true;
   }
 
-  /** The node that should own a shard instead of this one; null if there is none. */
-  private String successor(int shard) {
+  /** The node that should own a shard instead of this one, if there is one. */
+  private Optional<String> successor(int shard) {
     Optional<String> delegate = delegations.otherDelegate(shard);
     if (delegate.isPresent() && listener.mostWorkersTimedOut(shard)) {
-      return delegate.get();
+      return delegate;
     }
-    String preferred = advisor.preferredOwner(shard);
-    if (preferred != null) {
+    Optional<String> preferred = advisor.preferredOwner(shard);
+    if (preferred.isPresent()) {
       return preferred;
     }
-    return mayReturnHome(shard) ? nodes.get(shard) : null;
+    return mayReturnHome(shard) ? Optional.of(nodes.get(shard)) : Optional.empty();
   }
 
   private boolean mayReturnHome(int shard) {
--- a/src/test/java/gladeknot/connectivity/ShardOffersTest.java
+++ b/src/test/java/gladeknot/connectivity/FailoverOffersTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What counts as a change of owner, and holds offers up for a while. */
-class ShardOffersTest {
+class FailoverOffersTest {
   private static final long SECOND = 1_000_000;
 
   private String owner = "node-0";
@@ -25,13 +25,13 @@
         }
 
         @Override
-        public String home(int shard) {
+        public String homeNode(int shard) {
           return "node-0";
         }
 
         @Override
-        public String owner(int shard) {
-          return owner;
+        public Optional<String> owner(int shard) {
+          return Optional.of(owner);
         }
 
         @Override
@@ -55,7 +55,7 @@
         }
 
         @Override
-        public void yield(int shard) {}
+        public void relinquish(int shard) {}
 
         @Override
         public Collection<WorkerAddress> workers(int shard) {
@@ -63,12 +63,12 @@
         }
       };
 
-  private ShardOffers offers() {
+  private FailoverOffers offers() {
     PartialCuts settings = FeatureSettings.partialCuts().partialCuts().orElseThrow();
-    return new ShardOffers("node-1", shards, new LinkTable(settings), settings);
+    return new FailoverOffers("node-1", shards, new LinkTable(settings), settings);
   }
 
-  private static void tick(ShardOffers offers, long second) {
+  private static void tick(FailoverOffers offers, long second) {
     offers.tick(second * SECOND, (shard, leftOut) -> Optional.empty());
   }
 
@@ -78,7 +78,7 @@
    */
   @Test
   void newTermsOfOneOwnerAreNoFlapping() {
-    ShardOffers offers = offers();
+    FailoverOffers offers = offers();
     for (int second = 1; second <= 6; second++) {
       term++;
       tick(offers, second);
@@ -88,7 +88,7 @@
 
   @Test
   void ownersThatChangeAreDampedForAWhile() {
-    ShardOffers offers = offers();
+    FailoverOffers offers = offers();
     for (int second = 1; second <= 4; second++) {
       tick(offers, second);
       owner = second % 2 == 0 ? "node-0" : "node-2";
