--- a/src/main/java/gladeknot/workers/RemoteHeartbeats.java
+++ b/src/main/java/gladeknot/workers/RemoteHeartbeats.java
@@ -56,7 +56,7 @@
 
   /** Answers a heartbeat of a worker of a shard that this controller does not own. */
   void answer(long request, Heartbeat heartbeat, int shard) {
-    String owner = membership.liveOwner(shard);
+    String owner = membership.liveOwner(shard).orElse(null);
     long term = membership.term(shard);
     if (owner == null) {
       answers.refuse(request, HeartbeatAnswers.Refusal.OWNER_CHANGING);
