--- a/src/main/java/gladeknot/http/HttpCaller.java
+++ b/src/main/java/gladeknot/http/HttpCaller.java
@@ -2,36 +2,24 @@
 
 import gladeknot.outbox.Outbox;
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponseDecoder;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
 /** Calls other services over kept connections, one request at a time on each. */
 public final class HttpCaller {
-  private static final int MAX_BODY = 16 * 1024 * 1024;
-  private static final int KEPT = 4;
+  private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
+  private static final long MAX_CONNECT_MILLIS = 2000;
+  private static final long MICROS_PER_MILLI = 1000;
 
   /**
    * Idle connections kept in all. Commands go to every machine some time: kept for each of them,
@@ -41,19 +29,15 @@
 
   /** Takes a reply in. */
   public interface Handler {
+    /** The reply to a call, on a thread of the event loop; status 0 says that none came. */
     void reply(long id, Outbox.Reply reply);
   }
 
-  private static final byte[] NOTHING = new byte[0];
-
   private final EventLoopGroup group;
   private final Handler handler;
-  private final Map<String, ArrayDeque<Channel>> kept = new HashMap<>();
-
-  /** All idle connections with their addresses, the one idle for longest first. */
-  private final LinkedHashMap<Channel, String> idleSince = new LinkedHashMap<>();
+  private final IdleConnections idleConnections = new IdleConnections(MAX_IDLE);
 
-  /** A caller whose answers go to the handler, on a thread of the group. */
+  /** A caller whose replies go to the handler, on a thread of the group. */
   public HttpCaller(EventLoopGroup group, Handler handler) {
     this.group = group;
     this.handler = handler;
@@ -61,170 +45,65 @@
 
   /** Sends a call; a reply or its absence always comes, within the call's time. */
   public void call(Outbox.Call call) {
-    Channel channel = takeIdle(call.address());
-    Exchange exchange = new Exchange(call);
-    exchange.timer =
+    Channel idle = idleConnections.take(call.address());
+    HttpExchange exchange = new HttpExchange(call, handler);
+    exchange.endAfter(
         group
             .next()
-            .schedule(() -> exchange.end(0, NOTHING), call.timeoutMicros(), TimeUnit.MICROSECONDS);
-    if (channel != null) {
-      channel.pipeline().get(Connection.class).send(channel, exchange);
-      return;
+            .schedule(exchange::endWithoutReply, call.timeoutMicros(), TimeUnit.MICROSECONDS));
+    if (idle != null) {
+      send(idle, exchange);
+    } else {
+      connect(exchange);
     }
-    int colon = call.address().lastIndexOf(':');
-    InetSocketAddress to =
-        new InetSocketAddress(
-            call.address().substring(0, colon),
-            Integer.parseInt(call.address().substring(colon + 1)));
+  }
+
+  private void connect(HttpExchange exchange) {
+    Outbox.Call call = exchange.call();
     new Bootstrap()
         .group(group)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(
-            ChannelOption.CONNECT_TIMEOUT_MILLIS,
-            (int) Math.max(1, Math.min(call.timeoutMicros() / 1000, 2000)))
-        .handler(
-            new ChannelInitializer<SocketChannel>() {
-              @Override
-              protected void initChannel(SocketChannel ch) {
-                ch.pipeline()
-                    .addLast(new HttpRequestEncoder())
-                    .addLast(new HttpResponseDecoder())
-                    .addLast(new HttpObjectAggregator(MAX_BODY))
-                    .addLast(new Connection());
-              }
-            })
-        .connect(to)
-        .addListener(
-            (io.netty.channel.ChannelFuture f) -> {
-              if (!f.isSuccess()) {
-                exchange.end(0, NOTHING);
-              } else if (exchange.over) {
-                f.channel().close();
-              } else {
-                f.channel().pipeline().get(Connection.class).send(f.channel(), exchange);
-              }
-            });
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis(call))
+        .handler(new ConnectionInitializer())
+        .connect(parseAddress(call.address()))
+        .addListener((ChannelFuture connected) -> onConnectDone(connected, exchange));
   }
 
-  private Channel takeIdle(String address) {
-    ArrayDeque<Channel> idle = kept.get(address);
-    Channel channel = null;
-    while (idle != null && (channel == null || !channel.isActive()) && !idle.isEmpty()) {
-      channel = idle.pollLast();
-      idleSince.remove(channel);
-    }
-    if (idle != null && idle.isEmpty()) {
-      kept.remove(address);
-    }
-    return channel != null && channel.isActive() ? channel : null;
+  private static int connectMillis(Outbox.Call call) {
+    long callMillis = call.timeoutMicros() / MICROS_PER_MILLI;
+    return (int) Math.max(1, Math.min(callMillis, MAX_CONNECT_MILLIS));
   }
 
-  private void keep(String address, Channel channel) {
-    ArrayDeque<Channel> idle = kept.computeIfAbsent(address, a -> new ArrayDeque<>());
-    idle.addLast(channel);
-    idleSince.put(channel, address);
-    if (idle.size() > KEPT) {
-      close(idle.peekFirst());
-    } else if (idleSince.size() > MAX_IDLE) {
-      close(idleSince.keySet().iterator().next());
-    }
+  private static InetSocketAddress parseAddress(String address) {
+    int colon = address.lastIndexOf(':');
+    return new InetSocketAddress(
+        address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
   }
 
-  /** Closes an idle connection, or notes that it was closed. */
-  private void close(Channel channel) {
-    String address = idleSince.remove(channel);
-    if (address != null) {
-      ArrayDeque<Channel> idle = kept.get(address);
-      idle.remove(channel);
-      if (idle.isEmpty()) {
-        kept.remove(address);
-      }
+  private static void onConnectDone(ChannelFuture connected, HttpExchange exchange) {
+    if (!connected.isSuccess()) {
+      exchange.endWithoutReply();
+    } else if (exchange.hasEnded()) {
+      connected.channel().close();
+    } else {
+      send(connected.channel(), exchange);
     }
-    channel.close();
   }
 
-  private final class Exchange {
-    private final Outbox.Call call;
-    private java.util.concurrent.Future<?> timer;
-    private Channel channel;
-    private boolean over;
-
-    private Exchange(Outbox.Call call) {
-      this.call = call;
-    }
-
-    private void end(int status, byte[] body) {
-      if (over) {
-        return;
-      }
-      over = true;
-      timer.cancel(false);
-      if (status == 0 && channel != null) {
-        channel.close();
-      }
-      handler.reply(call.id(), new Outbox.Reply(status, body));
-    }
+  private static void send(Channel channel, HttpExchange exchange) {
+    channel.pipeline().get(HttpCallHandler.class).send(channel, exchange);
   }
 
-  private final class Connection extends ChannelInboundHandlerAdapter {
-    private Exchange exchange;
-
-    private void send(Channel ch, Exchange e) {
-      exchange = e;
-      e.channel = ch;
-      DefaultFullHttpRequest request =
-          new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1,
-              HttpMethod.valueOf(e.call.method()),
-              e.call.path(),
-              Unpooled.wrappedBuffer(e.call.body()));
-      request.headers().set(HttpHeaderNames.HOST, e.call.address());
-      request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, e.call.body().length);
-      if (e.call.body().length > 0) {
-        request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
-      }
-      ch.writeAndFlush(request);
-    }
-
-    @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      FullHttpResponse response = (FullHttpResponse) msg;
-      try {
-        Exchange e = exchange;
-        exchange = null;
-        if (e == null || response.decoderResult().isFailure()) {
-          ctx.close();
-          if (e != null) {
-            e.end(0, NOTHING);
-          }
-          return;
-        }
-        if (HttpUtil.isKeepAlive(response)) {
-          keep(e.call.address(), ctx.channel());
-        } else {
-          ctx.close();
-        }
-        e.end(response.status().code(), ByteBufUtil.getBytes(response.content()));
-      } finally {
-        response.release();
-      }
-    }
-
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-      HttpCaller.this.close(ctx.channel());
-      if (exchange != null) {
-        Exchange e = exchange;
-        exchange = null;
-        // A closed connection says nothing about the request on it: no answer came.
-        e.end(0, NOTHING);
-      }
-    }
-
+  private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      ctx.close();
+    protected void initChannel(SocketChannel channel) {
+      channel
+          .pipeline()
+          .addLast(new HttpRequestEncoder())
+          .addLast(new HttpResponseDecoder())
+          .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
+          .addLast(new HttpCallHandler(idleConnections));
     }
   }
 }
--- /dev/null
+++ b/src/main/java/gladeknot/http/HttpExchange.java
@@ -0,0 +1,61 @@
+package gladeknot.http;
+
+import gladeknot.outbox.Outbox;
+import io.netty.channel.Channel;
+import java.util.concurrent.Future;
+
+/** A call that is under way; it ends once, with a reply or without. */
+final class HttpExchange {
+  private static final int NO_REPLY = 0;
+  private static final byte[] NO_BODY = new byte[0];
+
+  private final Outbox.Call call;
+  private final HttpCaller.Handler handler;
+  private Future<?> timeout;
+  private Channel channel;
+  private boolean ended;
+
+  HttpExchange(Outbox.Call call, HttpCaller.Handler handler) {
+    this.call = call;
+    this.handler = handler;
+  }
+
+  Outbox.Call call() {
+    return call;
+  }
+
+  boolean hasEnded() {
+    return ended;
+  }
+
+  /** Notes the timeout that ends the exchange unless a reply comes before. */
+  void endAfter(Future<?> scheduledTimeout) {
+    timeout = scheduledTimeout;
+  }
+
+  /** Notes the connection that the request is sent on. */
+  void sentOn(Channel usedChannel) {
+    channel = usedChannel;
+  }
+
+  void endWithReply(int status, byte[] body) {
+    end(status, body);
+  }
+
+  /** Ends without a reply; its connection is closed, since one might still come on it. */
+  void endWithoutReply() {
+    end(NO_REPLY, NO_BODY);
+  }
+
+  private void end(int status, byte[] body) {
+    if (ended) {
+      return;
+    }
+    ended = true;
+    timeout.cancel(false);
+    if (status == NO_REPLY && channel != null) {
+      channel.close();
+    }
+    handler.reply(call.id(), new Outbox.Reply(status, body));
+  }
+}
--- /dev/null
+++ b/src/main/java/gladeknot/http/HttpRequestHandler.java
@@ -0,0 +1,77 @@
+package gladeknot.http;
+
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpUtil;
+import java.util.concurrent.TimeUnit;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The end of an incoming connection's pipeline: hands requests on, and closes unused ones. */
+final class HttpRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private static final Logger LOG = LoggerFactory.getLogger(HttpRequestHandler.class);
+  private static final int BAD_REQUEST = 400;
+
+  /** After so long without a first request a connection is closed. */
+  private static final long FIRST_REQUEST_SECONDS = 10;
+
+  /** The request of a connection that has had none. */
+  private static final long NO_REQUEST = 0;
+
+  private final HttpServer server;
+  private final HttpServer.Handler handler;
+  private final ServerConnections connections;
+
+  /** The newest request; it stays when it is answered. */
+  private long newestRequest = NO_REQUEST;
+
+  HttpRequestHandler(HttpServer server, HttpServer.Handler handler, ServerConnections connections) {
+    this.server = server;
+    this.handler = handler;
+    this.connections = connections;
+  }
+
+  @Override
+  public void channelActive(ChannelHandlerContext ctx) {
+    connections.add(ctx.channel());
+    ctx.executor().schedule(() -> closeIfUnused(ctx), FIRST_REQUEST_SECONDS, TimeUnit.SECONDS);
+  }
+
+  /** Connections that were used once are closed by their clients, or when there are too many. */
+  private void closeIfUnused(ChannelHandlerContext ctx) {
+    if (newestRequest == NO_REQUEST) {
+      ctx.close();
+    }
+  }
+
+  @Override
+  protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+    connections.touch(ctx.channel());
+    long id = server.open(ctx.channel(), HttpUtil.isKeepAlive(request));
+    newestRequest = id;
+    if (request.decoderResult().isFailure()) {
+      byte[] error = Json.bytes(Json.of("error", "not HTTP"));
+      server.answer(new Outbox.Answer(id, BAD_REQUEST, error, 0));
+      return;
+    }
+    byte[] body = ByteBufUtil.getBytes(request.content());
+    handler.request(id, request.method().name(), request.uri(), body);
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext ctx) {
+    connections.remove(ctx.channel());
+    server.abandon(newestRequest);
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    LOG.debug(
+        "connection closed remote={} cause={}", ctx.channel().remoteAddress(), cause.toString());
+    ctx.close();
+  }
+}
--- a/src/main/java/gladeknot/json/Json.java
+++ b/src/main/java/gladeknot/json/Json.java
@@ -46,22 +46,27 @@
     return map;
   }
 
+  /** The text under a name; null if there is none, or another value. */
   public static String text(Map<String, Object> map, String name) {
-    return map.get(name) instanceof String s ? s : null;
+    return map.get(name) instanceof String text ? text : null;
   }
 
+  /** The number under a name, cut off to a whole one; {@code absent} if there is none. */
   public static long num(Map<String, Object> map, String name, long absent) {
-    return map.get(name) instanceof Number n ? n.longValue() : absent;
+    return map.get(name) instanceof Number number ? number.longValue() : absent;
   }
 
+  /** The number under a name; {@code absent} if there is none. */
   public static double real(Map<String, Object> map, String name, double absent) {
-    return map.get(name) instanceof Number n ? n.doubleValue() : absent;
+    return map.get(name) instanceof Number number ? number.doubleValue() : absent;
   }
 
+  /** Whether {@code true} is under a name. */
   public static boolean flag(Map<String, Object> map, String name) {
     return Boolean.TRUE.equals(map.get(name));
   }
 
+  /** A value as an object; empty if it is none. */
   @SuppressWarnings("unchecked")
   public static Map<String, Object> map(Object value) {
     return value instanceof Map ? (Map<String, Object>) value : Map.of();
--- a/src/main/java/gladeknot/outbox/CallObserver.java
+++ b/src/main/java/gladeknot/outbox/CallObserver.java
@@ -1,6 +1,6 @@
 package gladeknot.outbox;
 
-/** Hears of every call that the core makes to other services, and of its end. */
+/** Hears of every call that the controller makes to other services, and of its end. */
 public interface CallObserver {
   /** Hears of nothing. */
   CallObserver NONE =
--- a/src/main/java/gladeknot/outbox/Outbox.java
+++ b/src/main/java/gladeknot/outbox/Outbox.java
@@ -2,21 +2,23 @@
 
 import gladeknot.json.Json;
 import gladeknot.peer.PeerMessage;
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * What the core wants done: calls to other services and answers to requests. The core only fills
- * it; the event loop carries it out and brings the replies back.
+ * What the controller's state machine wants sent: calls to other services, answers to requests and
+ * messages to the other controllers. The state machine only fills it; the event loop carries it out
+ * and brings the replies back. Not thread-safe: all of it is the event loop's.
  */
 public final class Outbox {
   /** A request to another service; {@code address} is host:port. */
   public record Call(
       long id, String address, String method, String path, byte[] body, long timeoutMicros) {}
 
-  /** The answer to a request that was handed to the core. */
+  /** The answer to a request; {@code retryAfterS} is 0 if it says nothing of a repetition. */
   public record Answer(long request, int status, byte[] body, int retryAfterS) {}
 
   /** What came back; status 0 says that nothing did, and the call may have been carried out. */
@@ -25,7 +27,7 @@
     public Map<String, Object> object() {
       try {
         return Json.object(body);
-      } catch (java.io.IOException e) {
+      } catch (IOException e) {
         return Map.of();
       }
     }
@@ -33,13 +35,14 @@
 
   /** Takes the reply to one call. */
   public interface ReplyHandler {
+    /** The reply, or its absence; comes once for each call. */
     void onReply(Reply reply);
   }
 
   private final List<Call> calls = new ArrayList<>();
   private final List<Answer> answers = new ArrayList<>();
   private final List<PeerMessage> peerMessages = new ArrayList<>();
-  private final Map<Long, ReplyHandler> waiting = new HashMap<>();
+  private final Map<Long, ReplyHandler> replyHandlers = new HashMap<>();
   private CallObserver observer = CallObserver.NONE;
   private long nextId = 1;
 
@@ -50,27 +53,33 @@
 
   /** Adds a call; the handler gets its reply, with status 0 if none came in time. */
   public void call(
-      String address, String method, String path, Object body, long timeoutMicros, ReplyHandler h) {
+      String address,
+      String method,
+      String path,
+      Object body,
+      long timeoutMicros,
+      ReplyHandler handler) {
     long id = nextId++;
-    waiting.put(id, h);
+    replyHandlers.put(id, handler);
     byte[] bytes = body == null ? new byte[0] : Json.bytes(body);
     Call call = new Call(id, address, method, path, bytes, timeoutMicros);
     calls.add(call);
     observer.called(call);
   }
 
+  /** Answers a request; the body is written as JSON. */
   public void answer(long request, int status, Object body) {
     answers.add(new Answer(request, status, Json.bytes(body), 0));
   }
 
-  /** Refuses for now and says when to come back. */
+  /** Refuses a request for now, and says after how many seconds to repeat it. */
   public void retryLater(long request, int status, String why, int retryAfterS) {
     answers.add(new Answer(request, status, Json.bytes(Json.of("error", why)), retryAfterS));
   }
 
   /** Hands a reply to the handler of its call; a second one is ignored. */
   public void reply(long callId, Reply reply) {
-    ReplyHandler handler = waiting.remove(callId);
+    ReplyHandler handler = replyHandlers.remove(callId);
     if (handler != null) {
       observer.replied(callId, reply.status());
       handler.onReply(reply);
@@ -84,7 +93,7 @@
     return taken;
   }
 
-  /** Tells the other controllers something; it may get lost. */
+  /** Sends a message to the other controllers; it may get lost. */
   public void sendToPeers(PeerMessage message) {
     peerMessages.add(message);
   }
--- a/src/main/java/gladeknot/peer/PeerLinks.java
+++ b/src/main/java/gladeknot/peer/PeerLinks.java
@@ -13,6 +13,7 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
+import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
@@ -22,25 +23,33 @@
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Connections between controllers: one outgoing to each, on which hints are sent. */
+/**
+ * Connections between controllers. Each controller sends on a connection of its own to every other
+ * one, and receives on those that the others have opened. Runs on the event loop's thread.
+ */
 public final class PeerLinks {
   private static final Logger LOG = LoggerFactory.getLogger(PeerLinks.class);
-  private static final int MAX_RECORD = 64 * 1024;
+  private static final int MAX_MESSAGE_BYTES = 64 * 1024;
   private static final int LENGTH_BYTES = 4;
-  private static final int CONNECT_MS = 1000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+
+  /** Takes received messages in. */
+  public interface MessageHandler {
+    /** A message of another controller, on the event loop's thread. */
+    void onMessage(PeerMessage message);
+  }
 
   private final Settings settings;
   private final EventLoopGroup group;
-  private final Consumer<PeerMessage> handler;
+  private final MessageHandler handler;
   private final Map<String, Channel> channels = new HashMap<>();
   private final Map<String, ChannelFuture> connecting = new HashMap<>();
 
   /** Links to all other controllers; what they send goes to the handler. */
-  public PeerLinks(Settings settings, EventLoopGroup group, Consumer<PeerMessage> handler) {
+  public PeerLinks(Settings settings, EventLoopGroup group, MessageHandler handler) {
     this.settings = settings;
     this.group = group;
     this.handler = handler;
@@ -48,43 +57,30 @@
 
   /** Listens for the other controllers. */
   public void listen() {
-    InetSocketAddress at = address(settings.peerListen());
     new ServerBootstrap()
         .group(group)
         .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_REUSEADDR, true)
-        .childHandler(
-            new ChannelInitializer<SocketChannel>() {
-              @Override
-              protected void initChannel(SocketChannel ch) {
-                ch.pipeline()
-                    .addLast(
-                        new LengthFieldBasedFrameDecoder(
-                            MAX_RECORD, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
-                    .addLast(new Receiver());
-              }
-            })
-        .bind(at)
+        .childHandler(new IncomingInitializer())
+        .bind(parseAddress(settings.peerListen()))
         .syncUninterruptibly();
   }
 
-  private static InetSocketAddress address(String text) {
-    int colon = text.lastIndexOf(':');
+  private static InetSocketAddress parseAddress(String address) {
+    int colon = address.lastIndexOf(':');
     return new InetSocketAddress(
-        text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
   }
 
-  /** Sends a record to all others; one that is not connected gets a later one. */
+  /** Sends a message to all others; one that is not connected receives later messages only. */
   public void send(PeerMessage message) {
-    byte[] record = message.encode();
+    byte[] encoded = message.encode();
     for (Settings.Member member : settings.members()) {
       Channel channel = channels.get(member.node());
-      if (channel != null && channel.isActive()) {
-        if (channel.bytesBeforeUnwritable() > 0) {
-          channel.writeAndFlush(Unpooled.wrappedBuffer(record));
-        }
-      } else {
+      if (channel == null || !channel.isActive()) {
         connect(member);
+      } else if (channel.bytesBeforeUnwritable() > 0) {
+        channel.writeAndFlush(Unpooled.wrappedBuffer(encoded));
       }
     }
   }
@@ -99,50 +95,69 @@
             .group(group)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-            .handler(
-                new ChannelInitializer<SocketChannel>() {
-                  @Override
-                  protected void initChannel(SocketChannel ch) {
-                    ch.pipeline()
-                        .addLast(new LengthFieldPrepender(LENGTH_BYTES))
-                        .addLast(new Quiet());
-                  }
-                })
-            .connect(address(member.address()));
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
+            .handler(new OutgoingInitializer())
+            .connect(parseAddress(member.address()));
     connecting.put(member.node(), future);
-    future.addListener(
-        (ChannelFuture f) -> {
-          if (f.isSuccess()) {
-            channels.put(member.node(), f.channel());
-          }
-        });
+    future.addListener((ChannelFuture connected) -> onConnectDone(member, connected));
+  }
+
+  private void onConnectDone(Settings.Member member, ChannelFuture connected) {
+    if (connected.isSuccess()) {
+      channels.put(member.node(), connected.channel());
+    }
+  }
+
+  private static final class OutgoingInitializer extends ChannelInitializer<SocketChannel> {
+    @Override
+    protected void initChannel(SocketChannel channel) {
+      channel
+          .pipeline()
+          .addLast(new LengthFieldPrepender(LENGTH_BYTES))
+          .addLast(new CloseOnErrorHandler());
+    }
+  }
+
+  private final class IncomingInitializer extends ChannelInitializer<SocketChannel> {
+    @Override
+    protected void initChannel(SocketChannel channel) {
+      channel
+          .pipeline()
+          .addLast(
+              new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
+          .addLast(new MessageReceiver());
+    }
   }
 
-  private static final class Quiet extends ChannelInboundHandlerAdapter {
+  /** Closes a connection that has failed; the next message opens another one. */
+  private static final class CloseOnErrorHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       ctx.close();
     }
   }
 
-  private final class Receiver extends ChannelInboundHandlerAdapter {
+  /** Decodes received messages; a malformed one closes its connection. */
+  private final class MessageReceiver extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      ByteBuf buf = (ByteBuf) msg;
+    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
       try {
-        handler.accept(PeerMessage.decode(ByteBufUtil.getBytes(buf)));
+        handler.onMessage(PeerMessage.decode(ByteBufUtil.getBytes(frame)));
       } catch (IOException e) {
-        LOG.error("garbled record from {}: {}", ctx.channel().remoteAddress(), e.toString());
+        LOG.error(
+            "peer message malformed remote={} cause={}",
+            ctx.channel().remoteAddress(),
+            e.toString());
         ctx.close();
-      } finally {
-        buf.release();
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.debug("peer {} closed: {}", ctx.channel().remoteAddress(), cause.toString());
+      LOG.debug(
+          "peer connection closed remote={} cause={}",
+          ctx.channel().remoteAddress(),
+          cause.toString());
       ctx.close();
     }
   }
--- /dev/null
+++ b/src/main/java/gladeknot/peer/PeerMessageCodec.java
@@ -0,0 +1,107 @@
+package gladeknot.peer;
+
+import gladeknot.peer.PeerMessage.QuotaDeficit;
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * The binary form of a {@link PeerMessage}. It begins with the number of its format; a reader takes
+ * what it knows of a later format and ignores what that has added at the end.
+ */
+final class PeerMessageCodec {
+  /** The format of the first version, without cancelled jobs. */
+  private static final int FORMAT_DEFICITS = 1;
+
+  /** Adds cancelled jobs. */
+  private static final int FORMAT_CANCELLATIONS = 2;
+
+  /** Adds what the sender reaches; written only where that is there. */
+  private static final int FORMAT_REACH = 3;
+
+  private PeerMessageCodec() {}
+
+  static byte[] encode(PeerMessage message) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    try (DataOutputStream out = new DataOutputStream(bytes)) {
+      write(message, out);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+    return bytes.toByteArray();
+  }
+
+  private static void write(PeerMessage message, DataOutputStream out) throws IOException {
+    out.writeByte(message.reach().isPresent() ? FORMAT_REACH : FORMAT_CANCELLATIONS);
+    out.writeUTF(message.from());
+    out.writeInt(message.shard());
+    out.writeLong(message.term());
+    out.writeInt(message.deficits().size());
+    for (QuotaDeficit deficit : message.deficits()) {
+      out.writeUTF(deficit.team());
+      out.writeLong(deficit.cpus());
+      out.writeLong(deficit.gpus());
+    }
+    out.writeInt(message.cancelledJobs().size());
+    for (String id : message.cancelledJobs()) {
+      out.writeUTF(id);
+    }
+    if (message.reach().isPresent()) {
+      out.writeBoolean(true);
+      PeerReachCodec.write(message.reach().get(), out);
+    }
+  }
+
+  /** Reads a message; fails with IOException when it is malformed. */
+  static PeerMessage decode(byte[] bytes) throws IOException {
+    DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
+    int format = in.readByte();
+    if (format < FORMAT_DEFICITS) {
+      throw new IOException("unknown format " + format);
+    }
+    PeerMessage message = read(in, format);
+    if (format <= FORMAT_REACH && in.available() > 0) {
+      throw new IOException("longer than it says");
+    }
+    return message;
+  }
+
+  private static PeerMessage read(DataInputStream in, int format) throws IOException {
+    String from = in.readUTF();
+    int shard = in.readInt();
+    long term = in.readLong();
+    int deficitCount = in.readInt();
+    if (shard < 0 || deficitCount < 0 || deficitCount > PeerMessage.MAX_DEFICITS) {
+      throw new IOException("out of range");
+    }
+    List<QuotaDeficit> deficits = new ArrayList<>();
+    for (int i = 0; i < deficitCount; i++) {
+      deficits.add(new QuotaDeficit(in.readUTF(), in.readLong(), in.readLong()));
+    }
+    List<String> cancelledJobs =
+        format >= FORMAT_CANCELLATIONS ? readCancelledJobs(in) : new ArrayList<>();
+    Optional<PeerReach> reach =
+        format >= FORMAT_REACH && in.readBoolean()
+            ? Optional.of(PeerReachCodec.read(in))
+            : Optional.empty();
+    return new PeerMessage(from, shard, term, deficits, cancelledJobs, reach);
+  }
+
+  private static List<String> readCancelledJobs(DataInputStream in) throws IOException {
+    int count = in.readInt();
+    if (count < 0 || count > PeerMessage.MAX_CANCELLED_JOBS) {
+      throw new IOException("out of range");
+    }
+    List<String> ids = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      ids.add(in.readUTF());
+    }
+    return ids;
+  }
+}
--- a/src/main/java/gladeknot/peer/PeerReach.java
+++ b/src/main/java/gladeknot/peer/PeerReach.java
@@ -1,15 +1,20 @@
 package gladeknot.peer;
 
-import java.io.DataInputStream;
-import java.io.DataOutputStream;
-import java.io.IOException;
-import java.util.ArrayList;
 import java.util.List;
 
 /**
- * What a controller tells the others of its links: whom it hears, what it reaches, and which shards
- * it offers, would take, or has yielded. Each record holds all of it, so that a later one makes up
- * for those that were lost; {@code life} and {@code sequence} order them.
+ * What a controller says of its links: whose messages it receives, what it reaches, and which
+ * shards it offers, would take, or has yielded. Each message holds all of it, so that a later one
+ * makes up for those that were lost; {@code life} and {@code sequence} order them.
+ *
+ * @param life the number of the sending process, greater for each restart
+ * @param sequence the number of the message in this process, from 1
+ * @param stateSteady whether the sender reaches the state store steadily
+ * @param heard the newest messages that controllers have received of each other
+ * @param zones how well the workers of each zone are reached
+ * @param contacts how many workers of other controllers' shards have reported to the sender
+ * @param offers the shards that the sender offers
+ * @param accepts the offers that the sender accepts
  */
 public record PeerReach(
     long life,
@@ -20,13 +25,13 @@
     List<ShardContact> contacts,
     List<ShardOffer> offers,
     List<ShardAccept> accepts) {
-  /** The newest record of {@code subject} that {@code observer} has received. */
+  /** The newest message of {@code subject} that {@code observer} has received. */
   public record Heard(String observer, String subject, long life, long sequence) {}
 
   /** How well the workers of a zone are reached, from 0 to 100. */
   public record ZoneReach(String zone, int percent) {}
 
-  /** How many workers of another's shard have reported here of late. */
+  /** How many workers of a shard of another controller have reported to the sender of late. */
   public record ShardContact(int shard, int workers) {}
 
   /**
@@ -39,92 +44,6 @@
   /** An offer that its receiver can make use of. */
   public record ShardAccept(int shard, long term, String from) {}
 
-  /** Bounds what one record holds, so that it stays below a connection's limit. */
+  /** The most entries of each list, so that a message stays below a connection's limit. */
   public static final int MAX_ENTRIES = 400;
-
-  void write(DataOutputStream out) throws IOException {
-    out.writeLong(life);
-    out.writeLong(sequence);
-    out.writeBoolean(stateSteady);
-    out.writeInt(heard.size());
-    for (Heard h : heard) {
-      out.writeUTF(h.observer());
-      out.writeUTF(h.subject());
-      out.writeLong(h.life());
-      out.writeLong(h.sequence());
-    }
-    out.writeInt(zones.size());
-    for (ZoneReach z : zones) {
-      out.writeUTF(z.zone());
-      out.writeInt(z.percent());
-    }
-    out.writeInt(contacts.size());
-    for (ShardContact c : contacts) {
-      out.writeInt(c.shard());
-      out.writeInt(c.workers());
-    }
-    out.writeInt(offers.size());
-    for (ShardOffer o : offers) {
-      out.writeInt(o.shard());
-      out.writeLong(o.incarnation());
-      out.writeLong(o.term());
-      out.writeUTF(o.to());
-      out.writeBoolean(o.yielded());
-    }
-    out.writeInt(accepts.size());
-    for (ShardAccept a : accepts) {
-      out.writeInt(a.shard());
-      out.writeLong(a.term());
-      out.writeUTF(a.from());
-    }
-  }
-
-  private interface Element<T> {
-    T read() throws IOException;
-  }
-
-  private static <T> List<T> list(DataInputStream in, Element<T> element) throws IOException {
-    int count = in.readInt();
-    if (count < 0 || count > MAX_ENTRIES) {
-      throw new IOException("out of range");
-    }
-    List<T> list = new ArrayList<>();
-    for (int i = 0; i < count; i++) {
-      list.add(element.read());
-    }
-    return list;
-  }
-
-  static PeerReach read(DataInputStream in) throws IOException {
-    PeerReach reach =
-        new PeerReach(
-            in.readLong(),
-            in.readLong(),
-            in.readBoolean(),
-            list(in, () -> new Heard(in.readUTF(), in.readUTF(), in.readLong(), in.readLong())),
-            list(in, () -> new ZoneReach(in.readUTF(), in.readInt())),
-            list(in, () -> new ShardContact(in.readInt(), in.readInt())),
-            list(
-                in,
-                () ->
-                    new ShardOffer(
-                        in.readInt(),
-                        in.readLong(),
-                        in.readLong(),
-                        in.readUTF(),
-                        in.readBoolean())),
-            list(in, () -> new ShardAccept(in.readInt(), in.readLong(), in.readUTF())));
-    reach.check();
-    return reach;
-  }
-
-  private void check() throws IOException {
-    boolean zonesRight = zones.stream().allMatch(z -> z.percent() >= 0 && z.percent() <= 100);
-    boolean contactsRight = contacts.stream().allMatch(c -> c.shard() >= 0 && c.workers() >= 0);
-    boolean offersRight = offers.stream().allMatch(o -> o.shard() >= 0 && o.term() > 0);
-    boolean acceptsRight = accepts.stream().allMatch(a -> a.shard() >= 0 && a.term() > 0);
-    if (sequence < 1 || !zonesRight || !contactsRight || !offersRight || !acceptsRight) {
-      throw new IOException("out of range");
-    }
-  }
 }
--- /dev/null
+++ b/src/main/java/gladeknot/peer/PeerReachCodec.java
@@ -0,0 +1,142 @@
+package gladeknot.peer;
+
+import gladeknot.peer.PeerReach.Heard;
+import gladeknot.peer.PeerReach.ShardAccept;
+import gladeknot.peer.PeerReach.ShardContact;
+import gladeknot.peer.PeerReach.ShardOffer;
+import gladeknot.peer.PeerReach.ZoneReach;
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+
+/** The binary form of a {@link PeerReach}: each list with its length before it. */
+final class PeerReachCodec {
+  private static final int MAX_PERCENT = 100;
+
+  private interface ElementWriter<T> {
+    void write(T element) throws IOException;
+  }
+
+  private interface ElementReader<T> {
+    T read() throws IOException;
+  }
+
+  private PeerReachCodec() {}
+
+  static void write(PeerReach reach, DataOutputStream out) throws IOException {
+    out.writeLong(reach.life());
+    out.writeLong(reach.sequence());
+    out.writeBoolean(reach.stateSteady());
+    writeList(reach.heard(), out, heard -> write(heard, out));
+    writeList(reach.zones(), out, zone -> write(zone, out));
+    writeList(reach.contacts(), out, contact -> write(contact, out));
+    writeList(reach.offers(), out, offer -> write(offer, out));
+    writeList(reach.accepts(), out, accept -> write(accept, out));
+  }
+
+  private static <T> void writeList(List<T> list, DataOutputStream out, ElementWriter<T> writer)
+      throws IOException {
+    out.writeInt(list.size());
+    for (T element : list) {
+      writer.write(element);
+    }
+  }
+
+  private static void write(Heard heard, DataOutputStream out) throws IOException {
+    out.writeUTF(heard.observer());
+    out.writeUTF(heard.subject());
+    out.writeLong(heard.life());
+    out.writeLong(heard.sequence());
+  }
+
+  private static void write(ZoneReach zone, DataOutputStream out) throws IOException {
+    out.writeUTF(zone.zone());
+    out.writeInt(zone.percent());
+  }
+
+  private static void write(ShardContact contact, DataOutputStream out) throws IOException {
+    out.writeInt(contact.shard());
+    out.writeInt(contact.workers());
+  }
+
+  private static void write(ShardOffer offer, DataOutputStream out) throws IOException {
+    out.writeInt(offer.shard());
+    out.writeLong(offer.incarnation());
+    out.writeLong(offer.term());
+    out.writeUTF(offer.to());
+    out.writeBoolean(offer.yielded());
+  }
+
+  private static void write(ShardAccept accept, DataOutputStream out) throws IOException {
+    out.writeInt(accept.shard());
+    out.writeLong(accept.term());
+    out.writeUTF(accept.from());
+  }
+
+  /** Reads what a controller reaches; fails with IOException when a value is out of its range. */
+  static PeerReach read(DataInputStream in) throws IOException {
+    // Arguments are evaluated from first to last, as they were written.
+    PeerReach reach =
+        new PeerReach(
+            in.readLong(),
+            in.readLong(),
+            in.readBoolean(),
+            readList(in, () -> readHeard(in)),
+            readList(in, () -> new ZoneReach(in.readUTF(), in.readInt())),
+            readList(in, () -> new ShardContact(in.readInt(), in.readInt())),
+            readList(in, () -> readOffer(in)),
+            readList(in, () -> new ShardAccept(in.readInt(), in.readLong(), in.readUTF())));
+    if (!isInRange(reach)) {
+      throw new IOException("out of range");
+    }
+    return reach;
+  }
+
+  private static <T> List<T> readList(DataInputStream in, ElementReader<T> reader)
+      throws IOException {
+    int count = in.readInt();
+    if (count < 0 || count > PeerReach.MAX_ENTRIES) {
+      throw new IOException("out of range");
+    }
+    List<T> list = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      list.add(reader.read());
+    }
+    return list;
+  }
+
+  private static Heard readHeard(DataInputStream in) throws IOException {
+    return new Heard(in.readUTF(), in.readUTF(), in.readLong(), in.readLong());
+  }
+
+  private static ShardOffer readOffer(DataInputStream in) throws IOException {
+    return new ShardOffer(
+        in.readInt(), in.readLong(), in.readLong(), in.readUTF(), in.readBoolean());
+  }
+
+  private static boolean isInRange(PeerReach reach) {
+    return reach.sequence() >= 1
+        && reach.zones().stream().allMatch(PeerReachCodec::isInRange)
+        && reach.contacts().stream().allMatch(PeerReachCodec::isInRange)
+        && reach.offers().stream().allMatch(PeerReachCodec::isInRange)
+        && reach.accepts().stream().allMatch(PeerReachCodec::isInRange);
+  }
+
+  private static boolean isInRange(ZoneReach zone) {
+    return zone.percent() >= 0 && zone.percent() <= MAX_PERCENT;
+  }
+
+  private static boolean isInRange(ShardContact contact) {
+    return contact.shard() >= 0 && contact.workers() >= 0;
+  }
+
+  private static boolean isInRange(ShardOffer offer) {
+    return offer.shard() >= 0 && offer.term() > 0;
+  }
+
+  private static boolean isInRange(ShardAccept accept) {
+    return accept.shard() >= 0 && accept.term() > 0;
+  }
+}
--- a/src/main/java/gladeknot/policy/Expression.java
+++ b/src/main/java/gladeknot/policy/Expression.java
@@ -11,8 +11,10 @@
     TRUTH
   }
 
+  /** What the expression's value is. */
   Type type();
 
+  /** The value, by those of the variables; one that has none counts as 0. */
   double eval(Map<String, Double> variables);
 
   /** A constant. */
@@ -32,42 +34,25 @@
   }
 
   /** A negation, of a truth value or of an amount. */
-  record Negation(Expression of) implements Expression {
+  record Negation(Expression operand) implements Expression {
     @Override
     public Type type() {
-      return of.type();
+      return operand.type();
     }
 
     @Override
     public double eval(Map<String, Double> variables) {
-      double v = of.eval(variables);
-      return type() == Type.TRUTH ? 1 - v : -v;
+      double value = operand.eval(variables);
+      return type() == Type.TRUTH ? 1 - value : -value;
     }
   }
 
   /** Two values joined; division by zero gives no number, which the policy then deals with. */
-  record Binary(Type type, String op, Expression left, Expression right) implements Expression {
+  record Binary(Type type, Operator operator, Expression left, Expression right)
+      implements Expression {
     @Override
     public double eval(Map<String, Double> variables) {
-      double a = left.eval(variables);
-      double b = right.eval(variables);
-      return switch (op) {
-        case "+" -> a + b;
-        case "-" -> a - b;
-        case "*" -> a * b;
-        case "/" -> b == 0 ? Double.NaN : a / b;
-        case "<" -> a < b ? 1 : 0;
-        case "<=" -> a <= b ? 1 : 0;
-        case ">" -> a > b ? 1 : 0;
-        case ">=" -> a >= b ? 1 : 0;
-        case "==" -> a == b ? 1 : 0;
-        case "!=" -> a != b ? 1 : 0;
-        case "and" -> Math.min(a, b);
-        case "or" -> Math.max(a, b);
-        case "min" -> Math.min(a, b);
-        case "max" -> Math.max(a, b);
-        default -> throw new IllegalStateException(op);
-      };
+      return operator.apply(left.eval(variables), right.eval(variables));
     }
   }
 
--- a/src/main/java/gladeknot/policy/Policy.java
+++ b/src/main/java/gladeknot/policy/Policy.java
@@ -12,73 +12,109 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The rules by which a controller weighs things: the shipped ones, an operators' file over them.
+ * The rules that tune a controller's decisions: the shipped ones, with those of an operators' file
+ * over them. Runs on the event loop's thread; results are kept until the variables change.
  */
 public final class Policy {
   private static final Logger LOG = LoggerFactory.getLogger(Policy.class);
   private static final String SHIPPED = "/gladeknot/policy/default.policy";
 
-  /** What can be set, with the range that a result is kept in. */
+  /**
+   * What can be set, with the range that a result is kept in; durations in seconds. {@code
+   * default.policy} says what each is for.
+   */
   public enum Name {
+    /** How long a controller's lease on the state store lasts. */
     STATE_LEASE(Type.DURATION, 1, 60),
+    /** How full machines are meant to be with work that has a deadline. */
     FILL(Type.NUMBER, 0.2, 5),
+    /** The same for work that a machine scaled out on demand is still in time for. */
     FILL_WITH_SLACK(Type.NUMBER, 0.2, 5),
+    /** Capacity kept for work that starts at once, in standard deviations above the mean. */
     SPREAD(Type.NUMBER, 0, 10),
+    /** For how long ahead capacity is kept for services. */
     SERVICE_AHEAD(Type.DURATION, 0, 3600),
+    /** Over which time arrivals are counted. */
     WINDOW(Type.DURATION, 10, 3600),
+    /** After how long an idle machine that is not needed is scaled in. */
     IDLE_KEEP(Type.DURATION, 0, 86400),
+    /** How long replicas wait before a machine is scaled out for them. */
     REPLICA_WAIT(Type.DURATION, 0, 3600),
+    /** How long work without any objective waits before a machine is scaled out for it. */
     PATIENCE(Type.DURATION, 0, 86400),
+    /** Up to which multiple of the least cost GPU machines serve work without GPUs. */
     DEAR(Type.NUMBER, 0, 1000),
+    /** After how long work that has not begun goes first in its priority. */
     STARVE_AFTER(Type.DURATION, 0, 86400),
+    /** After how long a task of another shard is claimed. */
     CLAIM_AFTER(Type.DURATION, 0, 60),
+    /** After how long tasks of lower priority are preempted. */
     STOP_AFTER(Type.DURATION, 0, 600),
+    /** After how long tasks of equal priority are preempted for a guarantee. */
     STOP_EQUAL_AFTER(Type.DURATION, 0, 600),
+    /** The share of the time that a task has, after which a machine is scaled out for it. */
     HASTE(Type.NUMBER, 0, 1),
+    /** The share of the time left at which deferred jobs go among the first again. */
     LAST_CALL(Type.NUMBER, 0, 1),
+    /** For a guarantee, how much work a preempted task of equal priority may lose at most. */
     YOUNG(Type.DURATION, 0, 86400);
 
     private final Type type;
-    private final double least;
-    private final double most;
+    private final double min;
+    private final double max;
 
-    Name(Type type, double least, double most) {
+    Name(Type type, double min, double max) {
       this.type = type;
-      this.least = least;
-      this.most = most;
+      this.min = min;
+      this.max = max;
     }
 
+    private double clamp(double value) {
+      return Math.max(min, Math.min(max, value));
+    }
+
+    /** The name in a policy text. */
     String text() {
-      return name().toLowerCase(java.util.Locale.ROOT);
+      return name().toLowerCase(Locale.ROOT);
     }
   }
 
+  private static final String LEASE = "lease_s";
+  private static final String CANCEL = "cancel_s";
+  private static final String HEARTBEAT = "report_s";
+  private static final String CONTROLLERS = "members";
+  private static final String MACHINES = "machines";
+  private static final String WAITING_TASKS = "waiting_tasks";
+
   private static final Map<String, Type> VARIABLES =
       Map.of(
-          "lease_s", Type.DURATION,
-          "cancel_s", Type.DURATION,
-          "report_s", Type.DURATION,
-          "members", Type.NUMBER,
-          "machines", Type.NUMBER,
-          "waiting_tasks", Type.NUMBER);
-
-  private final Map<Name, Expression> shipped = new EnumMap<>(Name.class);
-  private final Map<Name, Expression> own = new EnumMap<>(Name.class);
+          LEASE, Type.DURATION,
+          CANCEL, Type.DURATION,
+          HEARTBEAT, Type.DURATION,
+          CONTROLLERS, Type.NUMBER,
+          MACHINES, Type.NUMBER,
+          WAITING_TASKS, Type.NUMBER);
+
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  private final Map<Name, Expression> shippedRules = new EnumMap<>(Name.class);
+  private final Map<Name, Expression> operatorRules = new EnumMap<>(Name.class);
   private final Map<String, Double> variables = new HashMap<>();
   private final Map<Name, Double> values = new EnumMap<>(Name.class);
-  private final Set<Name> told = new HashSet<>();
+  private final Set<Name> reported = new HashSet<>();
 
-  private Policy(Map<String, Expression> shipped, Map<String, Expression> own) {
+  private Policy(Map<String, Expression> shipped, Map<String, Expression> operators) {
     for (Name name : Name.values()) {
-      this.shipped.put(name, shipped.get(name.text()));
-      if (own.containsKey(name.text())) {
-        this.own.put(name, own.get(name.text()));
+      shippedRules.put(name, shipped.get(name.text()));
+      if (operators.containsKey(name.text())) {
+        operatorRules.put(name, operators.get(name.text()));
       }
     }
   }
@@ -110,61 +146,74 @@
     return parser.faults().stream().map(PolicyParser.Fault::toString).toList();
   }
 
-  /** The shipped rules, with those of a file that has no faults over them; null: none. */
+  /**
+   * The shipped rules, with those of a file over them.
+   *
+   * @param file the operators' file; null if there is none
+   * @throws IOException if the file can't be read
+   * @throws IllegalArgumentException if the file has faults
+   */
   public static Policy load(Path file) throws IOException {
-    String text = file == null ? "" : Files.readString(file);
-    return of(text);
+    return of(file == null ? "" : Files.readString(file));
   }
 
   /** The shipped rules, with those of a text over them. */
   public static Policy of(String text) {
     PolicyParser parser = parser();
-    Map<String, Expression> own = parser.parse(text);
+    Map<String, Expression> operators = parser.parse(text);
     if (!parser.faults().isEmpty()) {
       throw new IllegalArgumentException(parser.faults().toString());
     }
-    return new Policy(parseShipped(), own);
+    return new Policy(parseShipped(), operators);
   }
 
-  /** Sets what stays the same for a life. */
-  public void settings(Settings s) {
-    variables.put("lease_s", s.workers().leaseMicros() / 1e6);
-    variables.put("cancel_s", s.workers().cancelMicros() / 1e6);
-    variables.put("report_s", s.workers().heartbeatMicros() / 1e6);
-    variables.put("members", (double) s.nodes().size());
+  /** Sets the variables that stay the same while the process lives. */
+  public void settings(Settings settings) {
+    variables.put(LEASE, settings.workers().leaseMicros() / MICROS_PER_SECOND);
+    variables.put(CANCEL, settings.workers().cancelMicros() / MICROS_PER_SECOND);
+    variables.put(HEARTBEAT, settings.workers().heartbeatMicros() / MICROS_PER_SECOND);
+    variables.put(CONTROLLERS, (double) settings.nodes().size());
     values.clear();
   }
 
-  /** Sets what changes. */
+  /** Sets the variables that change with the cluster's load. */
   public void load(int machines, int waitingTasks) {
-    variables.put("machines", (double) machines);
-    variables.put("waiting_tasks", (double) waitingTasks);
+    variables.put(MACHINES, (double) machines);
+    variables.put(WAITING_TASKS, (double) waitingTasks);
     values.clear();
   }
 
-  /** A number, or a duration in seconds. */
+  /** A rule's value: a number, or a duration in seconds. */
   public double number(Name name) {
     return values.computeIfAbsent(name, this::eval);
   }
 
-  /** A duration. */
+  /** A rule's duration in microseconds. */
   public long micros(Name name) {
-    return (long) (number(name) * 1e6);
+    return (long) (number(name) * MICROS_PER_SECOND);
   }
 
   private double eval(Name name) {
-    Expression mine = own.get(name);
-    double value = mine == null ? Double.NaN : mine.eval(variables);
-    if (mine != null && Double.isNaN(value) && told.add(name)) {
-      LOG.error("policy: {} divides by zero, the shipped rule is used", name.text());
+    double value = evalUnclamped(name);
+    double clamped = name.clamp(value);
+    if (clamped != value && reported.add(name)) {
+      LOG.error("policy rule clamped rule={} value={} used={}", name.text(), value, clamped);
     }
-    if (Double.isNaN(value)) {
-      value = shipped.get(name).eval(variables);
-    }
-    double kept = Math.max(name.least, Math.min(name.most, value));
-    if (kept != value && told.add(name)) {
-      LOG.error("policy: {} would be {}, kept at {}", name.text(), value, kept);
+    return clamped;
+  }
+
+  /** The operators' value; the shipped one if they set none, or theirs is no number. */
+  private double evalUnclamped(Name name) {
+    Expression operatorRule = operatorRules.get(name);
+    if (operatorRule != null) {
+      double value = operatorRule.eval(variables);
+      if (!Double.isNaN(value)) {
+        return value;
+      }
+      if (reported.add(name)) {
+        LOG.error("policy rule divides by zero rule={} used=shipped", name.text());
+      }
     }
-    return kept;
+    return shippedRules.get(name).eval(variables);
   }
 }
--- a/src/main/java/gladeknot/settings/FeatureReader.java
+++ b/src/main/java/gladeknot/settings/FeatureReader.java
@@ -21,7 +21,12 @@
   private final Map<String, Path> readFrom = new HashMap<>();
   private Optional<PartialCuts> partialCuts = Optional.empty();
 
-  /** The features, or the faults that keep them from being used, each with its file. */
+  /**
+   * What reading has come to.
+   *
+   * @param features the features; null if there are faults
+   * @param faults what keeps the features from being used, each with its file; empty if nothing
+   */
   public record Result(Features features, List<String> faults) {}
 
   private FeatureReader() {}
--- a/src/main/java/gladeknot/settings/PartialCuts.java
+++ b/src/main/java/gladeknot/settings/PartialCuts.java
@@ -3,8 +3,9 @@
 import java.util.Optional;
 
 /**
- * Settings of the feature {@code partial-cuts}: how links are judged, when shards move by that, and
- * what is told of it. Durations in microseconds.
+ * Settings of the feature {@code partial-cuts}, for asymmetric and partial network partitions: how
+ * links are judged, when shards change owners by that, and what is reported of it. Durations in
+ * microseconds.
  */
 public record PartialCuts(
     Links links,
@@ -39,30 +40,39 @@
   public record Status(String listen) {}
 
   /** The file that spans are written to, and its largest size in bytes. */
-  public record Tracing(String file, long mostBytes) {}
+  public record Tracing(String file, long maxBytes) {}
 
   private static final double MAX_SECONDS = 3600;
   private static final double MAX_PENALTY = 1e6;
-  private static final double BYTES_A_MB = 1024.0 * 1024.0;
+  private static final double BYTES_PER_MB = 1024.0 * 1024.0;
 
   /** Reads the feature's tables; what is wrong with them goes to the tables' faults. */
   static PartialCuts read(StrictTable root) {
     Links links = readLinks(root.table("links"));
     Damping damping = readDamping(root.table("damping"));
-    StrictTable handover = root.table("handover");
-    Handover offers =
+    Handover handover = readHandover(root.table("handover"));
+    Optional<Status> status = readStatus(root);
+    return new PartialCuts(links, damping, handover, status, readTracing(root));
+  }
+
+  private static Handover readHandover(StrictTable table) {
+    Handover handover =
         new Handover(
-            handover.flag("enabled", true),
-            handover.micros("offer_after_s", 1.0, 0.1, MAX_SECONDS),
-            handover.micros("keep_s", 30.0, 0, MAX_SECONDS));
-    handover.rejectUnknown();
-    Optional<Status> status = Optional.empty();
-    if (root.has("status")) {
-      StrictTable table = root.table("status");
-      status = Optional.of(new Status(table.address("listen", "127.0.0.1:7171")));
-      table.rejectUnknown();
+            table.flag("enabled", true),
+            table.micros("offer_after_s", 1.0, 0.1, MAX_SECONDS),
+            table.micros("keep_s", 30.0, 0, MAX_SECONDS));
+    table.rejectUnknown();
+    return handover;
+  }
+
+  private static Optional<Status> readStatus(StrictTable root) {
+    if (!root.has("status")) {
+      return Optional.empty();
     }
-    return new PartialCuts(links, damping, offers, status, readTracing(root));
+    StrictTable table = root.table("status");
+    Status status = new Status(table.address("listen", "127.0.0.1:7171"));
+    table.rejectUnknown();
+    return Optional.of(status);
   }
 
   private static Links readLinks(StrictTable table) {
@@ -103,7 +113,7 @@
     }
     StrictTable table = root.table("tracing");
     String file = table.text("file");
-    long bytes = (long) (table.number("most_mb", 64, 1, 65536) * BYTES_A_MB);
+    long bytes = (long) (table.number("most_mb", 64, 1, 65536) * BYTES_PER_MB);
     table.rejectUnknown();
     return Optional.of(new Tracing(file, bytes));
   }
--- a/src/main/java/gladeknot/settings/Settings.java
+++ b/src/main/java/gladeknot/settings/Settings.java
@@ -1,9 +1,32 @@
 package gladeknot.settings;
 
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
+import java.util.stream.Stream;
 
-/** What the platform hands over; durations in microseconds, sizes in bytes. */
+/**
+ * What the platform sets, the same for the life of a process. Durations are in microseconds, sizes
+ * in bytes, addresses host:port.
+ *
+ * @param node this controller's name
+ * @param zone the zone that it runs in; null if the file names none
+ * @param clientListen where it listens for users and workers
+ * @param peerListen where it listens for the other controllers
+ * @param members the other controllers
+ * @param cloudAddress the cloud's interface
+ * @param stateAddress the state store
+ * @param zones the zones that machines can be in
+ * @param clockErrorMicros by how much two clocks may differ
+ * @param teams the teams by name
+ * @param objectives the service-level objectives, in the order of the file
+ * @param workers the workers' timing
+ * @param stateLimits what the state store takes now
+ * @param nextStateLimits what it will take after an announced change; the same if there is none
+ * @param cloudLimits what the cloud takes
+ * @param maxConnections how many sockets the process may have
+ */
 public record Settings(
     String node,
     String zone,
@@ -44,13 +67,26 @@
   }
 
   /**
-   * A service-level objective; {@code withinMicros} and {@code times} are 0 where they do not
-   * apply.
+   * A service-level objective.
+   *
+   * @param kind what it measures
+   * @param jobClass the class of jobs that it is for; null if the file names none
+   * @param withinMicros the time in which it is to happen; 0 where that does not apply
+   * @param share the share of the jobs that is to meet it
+   * @param times the multiple of the jobs' deadlines; 0 where that does not apply
    */
   public record Objective(
       ObjectiveKind kind, String jobClass, long withinMicros, double share, double times) {}
 
-  /** The workers' times. */
+  /**
+   * The workers' timing.
+   *
+   * @param heartbeatMicros between two heartbeats
+   * @param leaseMicros how long a lease lasts, from the sending of the heartbeat that renewed it
+   * @param gangWaitMicros for so long the tasks of a gang wait for each other to start
+   * @param gangPeerMicros within this the tasks of a running gang notice that one of them is gone
+   * @param cancelMicros within this after a cancellation no task may run any more
+   */
   public record Workers(
       long heartbeatMicros,
       long leaseMicros,
@@ -58,7 +94,7 @@
       long gangPeerMicros,
       long cancelMicros) {}
 
-  /** What the state service takes. */
+  /** What the state store takes: requests and writes a second, bytes, operations. */
   public record StateLimits(double rps, double writeRps, int valueBytes, int txnOps) {
     /** The smaller of each of two limits. */
     public StateLimits smaller(StateLimits other) {
@@ -70,22 +106,19 @@
     }
   }
 
-  /** What the cloud takes. */
+  /** What the cloud takes: requests a second, and how old its lists of machines may be. */
   public record CloudLimits(double rps, long listLagMicros) {}
 
   /** All controllers' names in order, this one's among them; a shard's number is its place here. */
   public List<String> nodes() {
-    return java.util.stream.Stream.concat(
-            java.util.stream.Stream.of(node), members.stream().map(Member::node))
-        .sorted()
-        .toList();
+    return Stream.concat(Stream.of(node), members.stream().map(Member::node)).sorted().toList();
   }
 
   /** The zones that have a controller. */
-  public java.util.Set<String> controllerZones() {
-    java.util.Set<String> in = new java.util.HashSet<>();
-    in.add(zone);
-    members.forEach(m -> in.add(m.zone()));
-    return in;
+  public Set<String> controllerZones() {
+    Set<String> controllerZones = new HashSet<>();
+    controllerZones.add(zone);
+    members.forEach(member -> controllerZones.add(member.zone()));
+    return controllerZones;
   }
 }
--- a/src/main/java/gladeknot/settings/StrictTable.java
+++ b/src/main/java/gladeknot/settings/StrictTable.java
@@ -9,6 +9,7 @@
 /** A table of a settings file in which unknown fields, wrong types and ranges are all faults. */
 final class StrictTable {
   private static final int MAX_PORT = 65535;
+  private static final double MICROS_PER_SECOND = 1e6;
 
   private final Map<String, Object> fields;
   private final String path;
@@ -22,6 +23,7 @@
     this.faults = faults;
   }
 
+  /** Whether a field is there; from now on it is a known one. */
   boolean has(String name) {
     known.add(name);
     return fields.containsKey(name);
@@ -35,6 +37,7 @@
     return new StrictTable(Json.map(fields.get(name)), path + name + ".", faults);
   }
 
+  /** A number within a range; {@code absent} if it is not there. */
   double number(String name, double absent, double least, double most) {
     if (!has(name)) {
       return absent;
@@ -49,9 +52,10 @@
 
   /** A duration that is written in seconds, in microseconds. */
   long micros(String name, double absentSeconds, double leastSeconds, double mostSeconds) {
-    return Math.round(number(name, absentSeconds, leastSeconds, mostSeconds) * 1e6);
+    return Math.round(number(name, absentSeconds, leastSeconds, mostSeconds) * MICROS_PER_SECOND);
   }
 
+  /** A truth value; {@code absent} if it is not there. */
   boolean flag(String name, boolean absent) {
     if (has(name) && !(fields.get(name) instanceof Boolean)) {
       fault(name, "must be true or false");
@@ -60,6 +64,7 @@
     return fields.get(name) instanceof Boolean flag ? flag : absent;
   }
 
+  /** A required text. */
   String text(String name) {
     String value = has(name) ? Json.text(fields, name) : null;
     if (value == null || value.isBlank()) {
@@ -69,6 +74,7 @@
     return value;
   }
 
+  /** An address as host:port; {@code absent} if it is not there. */
   String address(String name, String absent) {
     if (!has(name)) {
       return absent;
@@ -85,6 +91,7 @@
     return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
   }
 
+  /** Makes a fault of a field. */
   void fault(String name, String what) {
     faults.add(path + name + ": " + what);
   }
--- a/src/main/java/gladeknot/tracing/FileTracing.java
+++ b/src/main/java/gladeknot/tracing/FileTracing.java
@@ -7,28 +7,27 @@
 import java.nio.file.Path;
 import java.time.Duration;
 
-/** Sets tracing to a file up: spans are handed to a thread of the SDK, which writes them. */
+/** Sets up tracing to a file: spans are handed to a thread of the SDK, which writes them. */
 public final class FileTracing {
-  private static final int MAX_OPEN = 20_000;
-  private static final int QUEUE = 4096;
-  private static final Duration WRITE_EVERY = Duration.ofSeconds(1);
+  private static final int MAX_OPEN_SPANS = 20_000;
+  private static final int MAX_QUEUED_SPANS = 4096;
+  private static final Duration WRITE_INTERVAL = Duration.ofSeconds(1);
   private static final String SCOPE = "gladeknot";
 
   private FileTracing() {}
 
   /** Opens the file; what is recorded is written at the end of the process at the latest. */
   public static TaskTracer open(PartialCuts.Tracing settings) throws IOException {
-    SpanFileExporter exporter =
-        new SpanFileExporter(Path.of(settings.file()), settings.mostBytes());
+    SpanFileExporter exporter = new SpanFileExporter(Path.of(settings.file()), settings.maxBytes());
     SdkTracerProvider provider =
         SdkTracerProvider.builder()
             .addSpanProcessor(
                 BatchSpanProcessor.builder(exporter)
-                    .setMaxQueueSize(QUEUE)
-                    .setScheduleDelay(WRITE_EVERY)
+                    .setMaxQueueSize(MAX_QUEUED_SPANS)
+                    .setScheduleDelay(WRITE_INTERVAL)
                     .build())
             .build();
     Runtime.getRuntime().addShutdownHook(new Thread(provider::close, "span-writer-end"));
-    return new OpenTelemetryTaskTracer(provider.get(SCOPE), MAX_OPEN);
+    return new OpenTelemetryTaskTracer(provider.get(SCOPE), MAX_OPEN_SPANS);
   }
 }
--- a/src/main/java/gladeknot/tracing/OpenTelemetryTaskTracer.java
+++ b/src/main/java/gladeknot/tracing/OpenTelemetryTaskTracer.java
@@ -11,11 +11,11 @@
 import io.opentelemetry.api.trace.Tracer;
 import io.opentelemetry.context.Context;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Predicate;
 
 /**
  * Records a span for each submission, until it is committed or refused, and one for each attempt,
@@ -32,20 +32,22 @@
   private static final AttributeKey<String> CAUSE = AttributeKey.stringKey("end.cause");
 
   private static final String DONE = "done";
+  private static final String TOO_MANY_OPEN = "too many are open";
+  private static final String SHARD_RELEASED = "the shard is no longer ours";
   private static final int SPAN_ID_BYTES = 8;
 
   private record OpenAttempt(Span span, int shard) {}
 
   private final Tracer tracer;
-  private final int mostOpen;
+  private final int maxOpen;
   private final Map<String, Span> submissions = new LinkedHashMap<>();
   private final Map<AttemptId, OpenAttempt> attempts = new LinkedHashMap<>();
   private long wallMicros;
 
   /** A tracer that keeps so many spans of each kind open; the oldest end when there are more. */
-  public OpenTelemetryTaskTracer(Tracer tracer, int mostOpen) {
+  public OpenTelemetryTaskTracer(Tracer tracer, int maxOpen) {
     this.tracer = tracer;
-    this.mostOpen = mostOpen;
+    this.maxOpen = maxOpen;
   }
 
   @Override
@@ -53,11 +55,11 @@
     wallMicros = micros;
   }
 
-  /** The parent that all spans of a job have, derived from its name. */
+  /** The parent that all spans of a job have, derived from the job's id. */
   private static Context parent(String job) {
     HashCode hash = Hashing.murmur3_128().hashString(job, StandardCharsets.UTF_8);
     byte[] bytes = hash.asBytes();
-    String spanId = HashCode.fromBytes(java.util.Arrays.copyOf(bytes, SPAN_ID_BYTES)).toString();
+    String spanId = HashCode.fromBytes(Arrays.copyOf(bytes, SPAN_ID_BYTES)).toString();
     SpanContext context =
         SpanContext.create(
             hash.toString(), spanId, TraceFlags.getSampled(), TraceState.getDefault());
@@ -82,9 +84,9 @@
   @Override
   public void submitted(String job) {
     submissions.computeIfAbsent(job, id -> start("submission", id));
-    while (submissions.size() > mostOpen) {
+    while (submissions.size() > maxOpen) {
       Iterator<Span> oldest = submissions.values().iterator();
-      end(oldest.next(), "too many are open");
+      end(oldest.next(), TOO_MANY_OPEN);
       oldest.remove();
     }
   }
@@ -117,14 +119,14 @@
     if (before != null) {
       end(before.span(), "committed again");
     }
-    while (attempts.size() > mostOpen) {
+    while (attempts.size() > maxOpen) {
       Iterator<OpenAttempt> oldest = attempts.values().iterator();
-      end(oldest.next().span(), "too many are open");
+      end(oldest.next().span(), TOO_MANY_OPEN);
       oldest.remove();
     }
   }
 
-  private void event(AttemptId attempt, String name) {
+  private void addEvent(AttemptId attempt, String name) {
     OpenAttempt open = attempts.get(attempt);
     if (open != null) {
       open.span().addEvent(name, wallMicros, TimeUnit.MICROSECONDS);
@@ -133,17 +135,17 @@
 
   @Override
   public void runSent(AttemptId attempt) {
-    event(attempt, "ordered");
+    addEvent(attempt, "ordered");
   }
 
   @Override
   public void phaseObserved(AttemptId attempt, String state) {
-    event(attempt, "reported " + state);
+    addEvent(attempt, "reported " + state);
   }
 
   @Override
   public void killed(AttemptId attempt) {
-    event(attempt, "killed");
+    addEvent(attempt, "killed");
   }
 
   @Override
@@ -156,15 +158,12 @@
 
   @Override
   public void shardReleased(int shard) {
-    endAll(open -> open.shard() == shard, "the shard is no longer ours");
-  }
-
-  private void endAll(Predicate<OpenAttempt> which, String cause) {
-    for (Iterator<OpenAttempt> all = attempts.values().iterator(); all.hasNext(); ) {
-      OpenAttempt open = all.next();
-      if (which.test(open)) {
-        end(open.span(), cause);
-        all.remove();
+    Iterator<OpenAttempt> remaining = attempts.values().iterator();
+    while (remaining.hasNext()) {
+      OpenAttempt open = remaining.next();
+      if (open.shard() == shard) {
+        end(open.span(), SHARD_RELEASED);
+        remaining.remove();
       }
     }
   }
--- a/src/main/java/gladeknot/tracing/SpanFileExporter.java
+++ b/src/main/java/gladeknot/tracing/SpanFileExporter.java
@@ -34,15 +34,15 @@
   static final String FULL_SUFFIX = ".1";
 
   private final Path file;
-  private final long mostBytes;
+  private final long maxBytes;
   private OutputStream out;
   private long written;
   private boolean failed;
 
   /** Opens the file, and goes on at its end if it exists. */
-  public SpanFileExporter(Path file, long mostBytes) throws IOException {
+  public SpanFileExporter(Path file, long maxBytes) throws IOException {
     this.file = file;
-    this.mostBytes = mostBytes;
+    this.maxBytes = maxBytes;
     open();
   }
 
@@ -63,8 +63,9 @@
       failed = false;
       return CompletableResultCode.ofSuccess();
     } catch (IOException e) {
+      // Said once for a series of failures: spans are exported every second.
       if (!failed) {
-        LOG.error("spans are dropped: {}: {}", file, e.toString());
+        LOG.error("spans dropped file={} cause={}", file, e.toString());
       }
       failed = true;
       return CompletableResultCode.ofFailure();
@@ -73,38 +74,33 @@
 
   private void write(SpanData span) throws IOException {
     byte[] line = Json.bytes(fields(span));
-    if (written + line.length + 1 > mostBytes && written > 0) {
-      out.close();
-      Path full = file.resolveSibling(file.getFileName() + FULL_SUFFIX);
-      Files.move(file, full, StandardCopyOption.REPLACE_EXISTING);
-      open();
+    if (written + line.length + 1 > maxBytes && written > 0) {
+      rotate();
     }
     out.write(line);
     out.write('\n');
     written += line.length + 1;
   }
 
+  private void rotate() throws IOException {
+    out.close();
+    Path full = file.resolveSibling(file.getFileName() + FULL_SUFFIX);
+    Files.move(file, full, StandardCopyOption.REPLACE_EXISTING);
+    open();
+  }
+
   private static Map<String, Object> fields(SpanData span) {
     String parent = span.getParentSpanId();
     return Json.of(
-        "traceId",
-        span.getTraceId(),
-        "spanId",
-        span.getSpanId(),
-        "parentSpanId",
-        SpanId.isValid(parent) ? parent : null,
-        "name",
-        span.getName(),
-        "startTimeUnixNano",
-        span.getStartEpochNanos(),
-        "endTimeUnixNano",
-        span.getEndEpochNanos(),
-        "status",
-        span.getStatus().getStatusCode().name(),
-        "attributes",
-        attributes(span),
-        "events",
-        events(span));
+        "traceId", span.getTraceId(),
+        "spanId", span.getSpanId(),
+        "parentSpanId", SpanId.isValid(parent) ? parent : null,
+        "name", span.getName(),
+        "startTimeUnixNano", span.getStartEpochNanos(),
+        "endTimeUnixNano", span.getEndEpochNanos(),
+        "status", span.getStatus().getStatusCode().name(),
+        "attributes", attributes(span),
+        "events", events(span));
   }
 
   private static Map<String, Object> attributes(SpanData span) {
--- a/src/main/java/gladeknot/tracing/TaskTracer.java
+++ b/src/main/java/gladeknot/tracing/TaskTracer.java
@@ -11,7 +11,7 @@
   /** Names one attempt at a task. */
   record AttemptId(String job, String task, long number) {}
 
-  /** Tells the time of day. */
+  /** Sets the time of day, in microseconds. */
   default void now(long wallMicros) {}
 
   /** A submission waits to be committed. */
@@ -20,24 +20,24 @@
   /** A submission is committed. */
   default void accepted(String job) {}
 
-  /** A submission was refused, and may be repeated. */
+  /** A request about a job was refused, and may be repeated. */
   default void refused(String job, String why) {}
 
   /** The start of an attempt is committed. */
   default void committed(AttemptId attempt, String host, int shard, long term) {}
 
-  /** An answer to a report carries an attempt's run. */
+  /** A heartbeat response carries the command to run an attempt. */
   default void runSent(AttemptId attempt) {}
 
-  /** A report shows an attempt in a state other than before. */
+  /** A heartbeat shows an attempt in a state other than before. */
   default void phaseObserved(AttemptId attempt, String state) {}
 
-  /** An attempt is wanted to end. */
+  /** An attempt is to be killed. */
   default void killed(AttemptId attempt) {}
 
   /** An attempt has ended, or is proven gone. */
   default void ended(AttemptId attempt, String cause) {}
 
-  /** A shard has ceased to be ours, and with it its attempts. */
+  /** The controller no longer owns a shard, nor its attempts. */
   default void shardReleased(int shard) {}
 }
