--- a/src/main/java/gladeknot/fleet/Fleet.java
+++ b/src/main/java/gladeknot/fleet/Fleet.java
@@ -1,5 +1,7 @@
 package gladeknot.fleet;
 
+import gladeknot.commit.FieldMutation;
+import gladeknot.commit.MutationCallback;
 import gladeknot.commit.TransactionCommitter;
 import gladeknot.connectivity.ControlAction;
 import gladeknot.jobs.Job;
@@ -9,6 +11,7 @@
 import gladeknot.membership.Membership;
 import gladeknot.outbox.Outbox;
 import gladeknot.policy.Policy;
+import gladeknot.scheduling.PendingDemand;
 import gladeknot.scheduling.Scheduler;
 import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
@@ -19,6 +22,8 @@
 import gladeknot.workers.Heartbeat;
 import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerRecord;
+import gladeknot.workers.WorkerRecordCodec;
 import gladeknot.workers.WorkerRegistry;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -28,7 +33,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -189,7 +193,7 @@
     releases.step(now, wall);
     if (now >= nextRentMicros) {
       nextRentMicros = now + (long) (STEP_MICROS * slower) - STEP_MICROS / 2;
-      Scheduler.DemandQueue queue = placer.demandQueue();
+      List<PendingDemand> queue = placer.pendingDemand();
       rent(queue);
       lend(queue);
     }
@@ -232,12 +236,10 @@
   }
 
   /** Rents for our tasks that would start too late on the machines that are there or coming. */
-  private void rent(Scheduler.DemandQueue queue) {
-    policy.load(
-        workers.all().size(),
-        queue.pending().stream().mapToInt(Scheduler.PendingDemand::count).sum());
-    int last = queue.pending().size() - 1;
-    while (last >= 0 && !queue.pending().get(last).owned()) {
+  private void rent(List<PendingDemand> queue) {
+    policy.load(workers.all().size(), queue.stream().mapToInt(PendingDemand::count).sum());
+    int last = queue.size() - 1;
+    while (last >= 0 && !queue.get(last).owned()) {
       last--;
     }
     if (last < 0 || !offers.anyOpen(nowMicros)) {
@@ -249,7 +251,7 @@
     int looked = 0;
     int most = mostForecast();
     // What comes after our last need takes nothing from it.
-    for (Scheduler.PendingDemand need : queue.pending().subList(0, last + 1)) {
+    for (PendingDemand need : queue.subList(0, last + 1)) {
       JobSpec spec = need.job().spec();
       // What may be stopped for a task is no hindrance to it: lower ranks are put in after.
       forecast.admit(spec.priority());
@@ -267,7 +269,7 @@
       boolean anywhere = only < 0 && !spec.spread() && !spec.colocated();
       int i = 0;
       while (i < need.count() && looked < most) {
-        Forecast.Slot slot = need.starved() ? search.fresh(inZone) : search.best(inZone);
+        Forecast.Slot slot = need.starving() ? search.fresh(inZone) : search.best(inZone);
         long starts = search.startsMicros();
         long at = slot == null ? Forecast.NEVER : starts + slot.fetchMicros(spec);
         if (i < mine) {
@@ -428,8 +430,8 @@
    * Gives an empty worker to a shard whose gang waits for it. The worker has seen our term; its new
    * owner raises its own above it before it answers.
    */
-  private void lend(Scheduler.DemandQueue queue) {
-    for (Scheduler.PendingDemand need : queue.pending()) {
+  private void lend(List<PendingDemand> queue) {
+    for (PendingDemand need : queue) {
       JobSpec spec = need.job().spec();
       if (need.owned() || spec.shape() != JobSpec.Shape.GANG || need.count() < 2) {
         continue;
@@ -695,17 +697,17 @@
         host,
         by,
         null,
-        Worker.record(shard, type, zone, spot, wallMicros, false),
+        WorkerRecordCodec.encode(new WorkerRecord(shard, type, zone, spot, wallMicros, false)),
         done -> {
           adopting.remove(host);
           scheduler.requestScheduling();
         });
   }
 
-  private void edit(String host, int shard, String from, String to, Consumer<Boolean> then) {
+  private void edit(String host, int shard, String from, String to, MutationCallback then) {
     recordWriter.submit(
-        new TransactionCommitter.FieldMutation(
-            shard, Worker.key(host), Worker.field(host), from, to, then));
+        new FieldMutation(
+            shard, WorkerRecordCodec.key(host), WorkerRecordCodec.field(host), from, to, then));
   }
 
   /** A machine that reports and that nobody has entered. */
--- a/src/main/java/gladeknot/jobs/JobRecordCodec.java
+++ b/src/main/java/gladeknot/jobs/JobRecordCodec.java
@@ -1,7 +1,7 @@
 package gladeknot.jobs;
 
 import gladeknot.json.Json;
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import java.util.Map;
 
 /**
@@ -43,12 +43,12 @@
    *
    * @throws IllegalStateException if an accepted job is stored with a malformed submission
    */
-  static Job decode(String id, StateStore.Entry entry) {
+  static Job decode(String id, Entry entry) {
     String phase = Json.text(entry.data(), PHASE);
     return phase == null ? decodeActive(id, entry) : decodeFinal(id, phase, entry);
   }
 
-  private static Job decodeFinal(String id, String phaseWord, StateStore.Entry entry) {
+  private static Job decodeFinal(String id, String phaseWord, Entry entry) {
     Map<String, Object> data = entry.data();
     Job.Phase phase = phaseWord.equals(PHASE_DONE) ? Job.Phase.DONE : Job.Phase.CANCELLED;
     int tasks = (int) Json.num(data, TASKS, 0);
@@ -56,7 +56,7 @@
     return new Job(id, phase, null, 0, tasks, 0, 0, end, entry.modRevision());
   }
 
-  private static Job decodeActive(String id, StateStore.Entry entry) {
+  private static Job decodeActive(String id, Entry entry) {
     Map<String, Object> data = entry.data();
     JobSpec spec;
     try {
--- a/src/main/java/gladeknot/jobs/JobRegistry.java
+++ b/src/main/java/gladeknot/jobs/JobRegistry.java
@@ -1,6 +1,6 @@
 package gladeknot.jobs;
 
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -87,7 +87,7 @@
   }
 
   /** Applies a change of a job's record; a null entry says that the record is gone. */
-  public void onChange(String key, StateStore.Entry entry) {
+  public void onChange(String key, Entry entry) {
     String id = key.substring(Job.KEY_PREFIX.length());
     changeCount++;
     Job before = active.remove(id);
--- a/src/main/java/gladeknot/jobs/JobRequestHandler.java
+++ b/src/main/java/gladeknot/jobs/JobRequestHandler.java
@@ -27,7 +27,7 @@
     int homeShard(JobSpec spec);
 
     /** Done and running tasks of a job that is not over. */
-    int[] taskCounts(Job job);
+    TaskCounts taskCounts(Job job);
 
     /** Why answers that are not final can't be given now; null if they can. */
     String refusal();
@@ -130,8 +130,8 @@
       return;
     }
     // A held job has no slices, and so none of its tasks is counted.
-    int[] counts = cluster.taskCounts(job);
-    answers.state(request, id, counts[0], counts[1]);
+    TaskCounts counts = cluster.taskCounts(job);
+    answers.state(request, id, counts.done(), counts.running());
   }
 
   /** Answers a poll of a job that is over: that never changes again. */
--- a/src/main/java/gladeknot/jobs/RequestBatch.java
+++ b/src/main/java/gladeknot/jobs/RequestBatch.java
@@ -1,7 +1,7 @@
 package gladeknot.jobs;
 
 import gladeknot.json.Json;
-import gladeknot.state.StateStore.Mutation;
+import gladeknot.state.Mutation;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/gladeknot/jobs/RequestCommitter.java
+++ b/src/main/java/gladeknot/jobs/RequestCommitter.java
@@ -1,7 +1,7 @@
 package gladeknot.jobs;
 
+import gladeknot.state.CommitOutcome;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.CommitOutcome;
 import gladeknot.tracing.TaskTracer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/gladeknot/quota/QuotaBalance.java
+++ b/src/main/java/gladeknot/quota/QuotaBalance.java
@@ -2,6 +2,7 @@
 
 import gladeknot.membership.Membership;
 import gladeknot.settings.Settings;
+import gladeknot.state.Entry;
 import gladeknot.state.StateStore;
 import gladeknot.tasks.Slice;
 import gladeknot.tasks.SliceRegistry;
@@ -34,7 +35,7 @@
 
   /** A shard's share as the team's record has it; none if there is no record. */
   ResourceAmount committedShare(String team, int shard) {
-    StateStore.Entry entry = stateStore.get(QuotaRecordCodec.key(team));
+    Entry entry = stateStore.get(QuotaRecordCodec.key(team));
     return entry == null ? ResourceAmount.NONE : QuotaRecordCodec.decodeShare(entry, shard);
   }
 
--- a/src/main/java/gladeknot/quota/QuotaChanges.java
+++ b/src/main/java/gladeknot/quota/QuotaChanges.java
@@ -1,8 +1,9 @@
 package gladeknot.quota;
 
+import gladeknot.commit.KeyMutation;
 import gladeknot.commit.TransactionCommitter;
+import gladeknot.state.Mutation;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Mutation;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -49,7 +50,7 @@
     String key = QuotaRecordCodec.key(team);
     balance.beginTransfer(team, shard, transferred);
     committer.submit(
-        new TransactionCommitter.KeyMutation(
+        new KeyMutation(
             shard,
             Mutation.put(key, QuotaRecordCodec.encode(shares)),
             Map.of(key, stateStore.modRevision(key)),
--- a/src/main/java/gladeknot/quota/QuotaRecordCodec.java
+++ b/src/main/java/gladeknot/quota/QuotaRecordCodec.java
@@ -1,6 +1,7 @@
 package gladeknot.quota;
 
 import gladeknot.json.Json;
+import gladeknot.state.Entry;
 import gladeknot.state.StateStore;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,11 +32,11 @@
   }
 
   /** One shard's share in a team's record; what the record does not hold counts as 0. */
-  static ResourceAmount decodeShare(StateStore.Entry entry, int shard) {
+  static ResourceAmount decodeShare(Entry entry, int shard) {
     return new ResourceAmount(amount(entry, CPUS, shard), amount(entry, GPUS, shard));
   }
 
-  private static long amount(StateStore.Entry entry, String field, int shard) {
+  private static long amount(Entry entry, String field, int shard) {
     return entry.data().get(field) instanceof List<?> amounts
             && shard < amounts.size()
             && amounts.get(shard) instanceof Number amount
--- a/src/main/java/gladeknot/scheduling/DeadlineOrder.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineOrder.java
@@ -116,7 +116,7 @@
   }
 
   /** Whether a job is late for all its deadlines, however soon its tasks run. */
-  boolean late(Job job, long wallMicros) {
+  boolean isLate(Job job, long wallMicros) {
     double last = 0;
     for (double time : known.getOrDefault(job.spec().jobClass(), Map.of()).keySet()) {
       last = Math.max(last, time);
@@ -146,7 +146,7 @@
     for (Job job : jobs.active()) {
       if (job.spec().deadlineMicros() > 0) {
         open.add(job);
-        for (Slice s : slices.inShard(job.id())) {
+        for (Slice s : slices.ofJob(job.id())) {
           slots += s.liveCount();
         }
       }
@@ -241,7 +241,7 @@
 
   private int todo(Job job) {
     int sum = 0;
-    for (Slice s : slices.inShard(job.id())) {
+    for (Slice s : slices.ofJob(job.id())) {
       sum += s.pendingCount();
     }
     return sum;
--- a/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
@@ -6,9 +6,10 @@
 import gladeknot.jobs.JobSpecCodec;
 import gladeknot.jobs.MalformedJobException;
 import gladeknot.standin.SimulatedCluster;
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import gladeknot.workers.MachineType;
-import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerRecord;
+import gladeknot.workers.WorkerRecordCodec;
 import gladeknot.workers.WorkerRegistry;
 import java.util.List;
 import java.util.Map;
@@ -36,14 +37,14 @@
     Map<String, Object> job = SimulatedCluster.job("req-1", "array", 8);
     job.put("cores", cpus);
     job.put("accelerators", gpus);
-    assertEquals(places, capacity.places(JobSpecCodec.decode(job), NOW, NOW));
+    assertEquals(places, capacity.taskSlots(JobSpecCodec.decode(job), NOW, NOW));
   }
 
   private static void enter(WorkerRegistry workers, int number, String type) {
     String host = "vm-00000" + number;
-    String record = Worker.record(0, type, "a", false, NOW, false);
-    Map<String, Object> data = Map.of(Worker.field(host), record);
-    workers.onChange(Worker.key(host), null, new StateStore.Entry(data, number));
+    String record = WorkerRecordCodec.encode(new WorkerRecord(0, type, "a", false, NOW, false));
+    Map<String, Object> data = Map.of(WorkerRecordCodec.field(host), record);
+    workers.onChange(WorkerRecordCodec.key(host), null, new Entry(data, number));
   }
 
   private static MachineType type(String name) {
