--- a/src/test/java/gladeknot/jobs/JobRegistryTest.java
+++ b/src/test/java/gladeknot/jobs/JobRegistryTest.java
@@ -14,30 +14,30 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Which jobs are held, released and withdrawn, in whatever order their records come to be read. */
+/** Which jobs are held, released and cancelled, in whatever order their records come to be read. */
 class JobRegistryTest {
   private final List<String> heard = new ArrayList<>();
   private final JobRegistry jobs =
       new JobRegistry((before, now) -> heard.add((now.active() ? "active " : "over ") + now.id()));
-  private long stamp;
+  private long revision;
 
-  private static Map<String, Object> record(String id, String... needs) {
-    return Json.of("s", SimulatedCluster.jobAfter(id, 1, needs), "h", 0, "t", 1_000);
+  private static Map<String, Object> record(String id, String... dependencies) {
+    return Json.of("s", SimulatedCluster.jobAfter(id, 1, dependencies), "h", 0, "t", 1_000);
   }
 
-  private void accept(String id, String... needs) {
-    put(id, record(id, needs));
+  private void accept(String id, String... dependencies) {
+    put(id, record(id, dependencies));
   }
 
   private void put(String id, Map<String, Object> record) {
-    jobs.onChange(Job.key(id), new Entry(record, ++stamp));
+    jobs.onChange(Job.key(id), new Entry(record, ++revision));
   }
 
   private void done(String id) {
     put(id, JobRecordCodec.encodeDone(1, 2_000));
   }
 
-  private void withdraw(String id) {
+  private void cancel(String id) {
     put(id, JobRecordCodec.encodeCancelled(1));
   }
 
@@ -97,18 +97,18 @@
   }
 
   @Test
-  void aWithdrawalGoesDownAndNotUp() {
+  void aCancellationReachesDependentsAndNotDependencies() {
     accept("req-a");
     accept("req-b", "req-a");
     accept("req-c", "req-b");
     accept("req-d", "req-b", "req-a");
-    withdraw("req-c");
+    cancel("req-c");
     assertEquals("req-b", jobs.unfinished("req-b").id());
-    withdraw("req-b");
+    cancel("req-b");
     assertTrue(jobs.isFinished("req-d"));
     assertEquals("req-a", jobs.active("req-a").id());
     // Its own record says so at last.
-    withdraw("req-d");
+    cancel("req-d");
     assertEquals(List.of(), jobs.cancelledByDependency());
     assertEquals(Job.Phase.CANCELLED, jobs.finished("req-d").phase());
   }
--- a/src/test/java/gladeknot/settings/SettingsReaderTest.java
+++ b/src/test/java/gladeknot/settings/SettingsReaderTest.java
@@ -75,6 +75,23 @@
     assertEquals(List.of("n0", "n1"), s.nodes());
   }
 
+  /** The platform may add kinds of objectives: a controller that does not know one still starts. */
+  @ParameterizedTest
+  @CsvSource({
+    "'kind = \"wait\"', WAIT",
+    "'kind = \"deadline\"', DEADLINE",
+    "'kind = \"finished\"', FINISHED",
+    "'kind = \"guarantee\"', GUARANTEE",
+    "'kind = \"Wait\"', OTHER",
+    "'kind = \"\"', OTHER",
+    "'kind = 3', OTHER",
+    "'', OTHER",
+  })
+  void anyKindOfObjectiveIsAccepted(String line, ObjectiveKind kind) throws IOException {
+    Settings settings = read(GOOD.replace("kind = \"wait\"", line)).settings();
+    assertEquals(kind, settings.objectives().get(0).kind());
+  }
+
   @Test
   void limitsToComeAreThePresentOnesWhereNotNamed() throws IOException {
     Settings without = read(GOOD).settings();
--- a/src/test/java/gladeknot/tracing/TracingTest.java
+++ b/src/test/java/gladeknot/tracing/TracingTest.java
@@ -24,10 +24,10 @@
 
   @TempDir Path dir;
 
-  private List<Map<String, Object>> record(long mostBytes, Consumer<TaskTracer> steps)
+  private List<Map<String, Object>> record(long maxBytes, Consumer<TaskTracer> steps)
       throws IOException {
     Path file = dir.resolve("spans.jsonl");
-    SpanFileExporter exporter = new SpanFileExporter(file, mostBytes);
+    SpanFileExporter exporter = new SpanFileExporter(file, maxBytes);
     try (SdkTracerProvider provider =
         SdkTracerProvider.builder()
             .addSpanProcessor(SimpleSpanProcessor.create(exporter))
