--- /dev/null
+++ b/src/test/java/gladeknot/app/CancellationTest.java
@@ -0,0 +1,83 @@
+package gladeknot.app;
+
+import static gladeknot.standin.SimulatedCluster.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import gladeknot.standin.SimulatedCluster;
+import gladeknot.standin.TestJobs;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Cancellations at every point of a job's life. */
+class CancellationTest {
+  /** Whenever a job is cancelled around its first start, nothing of it is left or written anew. */
+  @Test
+  void nothingIsLeftOfJobsCancelledAroundTheirFirstStart() {
+    // given
+    SimulatedCluster cluster = FaultScenarios.clusterWithService(37);
+    cluster.faults().delayStateCalls(150_000);
+    // when
+    for (int i = 0; i < 40; i++) {
+      String id = "req-early" + i;
+      cluster.submit(i % 3, TestJobs.job(id, "array", 4));
+      while (cluster.phase(id).isEmpty()) {
+        cluster.run(10_000);
+      }
+      cluster.run(i * 40_000L);
+      cluster.cancel((i + 1) % 3, id);
+      cluster.run(300_000);
+    }
+    cluster.faults().delayStateCalls(0);
+    cluster.run(30 * SECOND);
+    // then
+    int before = cluster.state().commits();
+    cluster.run(10 * SECOND);
+    assertTrue(
+        cluster.state().commits() - before < 10,
+        (cluster.state().commits() - before) + " commits in 10 s");
+    for (String key : cluster.state().keys("g/sl/")) {
+      for (String id : cluster.state().get(key).keySet()) {
+        assertEquals("req-web", id, key);
+      }
+    }
+    assertEquals(List.of(), cluster.violations());
+  }
+
+  /** A cancellation, a question or a repeat meets the end of a job's last task, in every order. */
+  @Test
+  void whatMeetsTheEndOfAJobHasOneOutcomeEverywhere() {
+    for (int shift = 0; shift < 16; shift++) {
+      // given
+      SimulatedCluster cluster = new SimulatedCluster(3, 40 + shift);
+      cluster.startPolling();
+      cluster.run(3 * SECOND);
+      cluster.submit(0, TestJobs.job("req-end", "array", 2));
+      while (cluster.doneTasks("req-end") < 1) {
+        cluster.run(10_000);
+      }
+      cluster.faults().loseCommitResponses(shift % 4 == 3 ? 1 : 0);
+      cluster.faults().delayLostCommits(shift % 8 == 7 ? 4 * SECOND : 0);
+      cluster.run(shift * 60_000L);
+      // when
+      cluster.cancel(shift % 3, "req-end");
+      cluster.request(
+          (shift + 1) % 3,
+          "POST",
+          "/work",
+          TestJobs.job("req-end", "array", 2),
+          a -> {
+            assertTrue(a.status() == 200 || a.status() == 503, "a repeat gets " + a.status());
+          });
+      cluster.poll((shift + 2) % 3, "req-end");
+      cluster.run(20 * SECOND);
+      for (int i = 0; i < 3; i++) {
+        cluster.poll(i, "req-end");
+      }
+      cluster.run(SECOND);
+      // then
+      assertEquals(List.of(), cluster.violations());
+      assertTrue(List.of("done", "withdrawn").contains(cluster.phase("req-end")));
+    }
+  }
+}
--- a/src/test/java/gladeknot/app/CheckerTest.java
+++ b/src/test/java/gladeknot/app/CheckerTest.java
@@ -20,77 +20,84 @@
       List.of(
           new Case(
               "ran_twice",
-              w -> w.machineFaults().runUnscheduledTask(0, "req-web/" + w.taskNotOn(0, "req-web"))),
+              cluster ->
+                  cluster
+                      .machineFaults()
+                      .runUnscheduledTask(0, "req-web/" + cluster.taskNotOn(0, "req-web"))),
           new Case(
               "quota",
-              w -> {
+              cluster -> {
                 for (int i = 0; i < 40; i++) {
-                  w.machineFaults().runUnscheduledTask(i, "req-web/" + (100 + i));
+                  cluster.machineFaults().runUnscheduledTask(i, "req-web/" + (100 + i));
                 }
               }),
           new Case(
               "ran_cancelled",
-              w -> {
-                w.cancel(0, "req-web");
-                w.run(SECOND);
-                downAll(w);
+              cluster -> {
+                cluster.cancel(0, "req-web");
+                cluster.run(SECOND);
+                downAll(cluster);
                 for (int i = 0; i < 30; i++) {
-                  w.machineFaults().renewLease(0);
-                  w.machineFaults().runUnscheduledTask(0, "req-web/0");
-                  w.run(SECOND);
+                  cluster.machineFaults().renewLease(0);
+                  cluster.machineFaults().runUnscheduledTask(0, "req-web/0");
+                  cluster.run(SECOND);
                 }
               }),
           new Case(
               "started after its cancellation",
-              w -> {
-                w.cancel(0, "req-web");
-                w.run(12 * SECOND);
-                w.machineFaults().runUnscheduledTask(0, "req-web/0");
+              cluster -> {
+                cluster.cancel(0, "req-web");
+                cluster.run(12 * SECOND);
+                cluster.machineFaults().runUnscheduledTask(0, "req-web/0");
               }),
           new Case(
               "too_early",
-              w -> {
-                w.submit(0, TestJobs.job("req-after", "array", 2));
-                w.assumeDependency("req-after", "req-web");
-                w.run(10 * SECOND);
+              cluster -> {
+                cluster.submit(0, TestJobs.job("req-after", "array", 2));
+                cluster.assumeDependency("req-after", "req-web");
+                cluster.run(10 * SECOND);
               }),
           new Case(
               "orphaned",
-              w -> {
-                w.submit(0, TestJobs.job("req-gone", "service", 2));
-                w.assumeDependency("req-gone", "req-web");
-                w.cancel(0, "req-web");
-                w.run(40 * SECOND);
+              cluster -> {
+                cluster.submit(0, TestJobs.job("req-gone", "service", 2));
+                cluster.assumeDependency("req-gone", "req-web");
+                cluster.cancel(0, "req-web");
+                cluster.run(40 * SECOND);
               }),
           new Case(
               "went_back",
-              w -> {
-                w.submit(0, TestJobs.job("req-gone", "array", 2));
-                w.submit(0, TestJobs.jobAfter("req-after", 2, "req-gone"));
-                w.assumeDependency("req-after", "req-web");
-                w.cancel(0, "req-gone");
-                w.run(10 * SECOND);
+              cluster -> {
+                cluster.submit(0, TestJobs.job("req-gone", "array", 2));
+                cluster.submit(0, TestJobs.jobAfter("req-after", 2, "req-gone"));
+                cluster.assumeDependency("req-after", "req-web");
+                cluster.cancel(0, "req-gone");
+                cluster.run(10 * SECOND);
               }),
           new Case(
               "forgotten",
-              w -> {
-                downAll(w);
-                w.expectRecovery();
-                w.run(80 * SECOND);
+              cluster -> {
+                downAll(cluster);
+                cluster.expectRecovery();
+                cluster.run(80 * SECOND);
               }),
           new Case(
               "left waiting",
-              w -> {
-                downAll(w);
-                w.expectRecovery();
-                w.run(110 * SECOND);
+              cluster -> {
+                downAll(cluster);
+                cluster.expectRecovery();
+                cluster.run(110 * SECOND);
               }),
-          new Case("accepted", w -> w.submitInvalid(0, TestJobs.job("req-fine", "array", 1), 422)),
-          new Case("refused with", w -> w.submitInvalid(0, TestJobs.job("bad", "array", 1), 422)));
+          new Case(
+              "accepted",
+              cluster -> cluster.submitInvalid(0, TestJobs.job("req-fine", "array", 1), 422)),
+          new Case(
+              "refused with",
+              cluster -> cluster.submitInvalid(0, TestJobs.job("bad", "array", 1), 422)));
 
-  private static void downAll(SimulatedCluster w) {
+  private static void downAll(SimulatedCluster cluster) {
     for (int i = 0; i < 3; i++) {
-      w.kill(i);
+      cluster.kill(i);
     }
   }
 
@@ -100,16 +107,16 @@
   }
 
   private static void play(Case c) {
-    SimulatedCluster w = new SimulatedCluster(3, 7);
-    w.startPolling();
-    w.run(3 * SECOND);
-    w.submit(0, TestJobs.job("req-web", "service", 4));
-    w.run(15 * SECOND);
-    assertEquals(List.of(), w.violations());
-    c.breach().accept(w);
-    w.run(SECOND);
+    SimulatedCluster cluster = new SimulatedCluster(3, 7);
+    cluster.startPolling();
+    cluster.run(3 * SECOND);
+    cluster.submit(0, TestJobs.job("req-web", "service", 4));
+    cluster.run(15 * SECOND);
+    assertEquals(List.of(), cluster.violations());
+    c.breach().accept(cluster);
+    cluster.run(SECOND);
     assertTrue(
-        w.violations().stream().anyMatch(b -> b.startsWith(c.caught())),
-        () -> "only " + w.violations());
+        cluster.violations().stream().anyMatch(b -> b.startsWith(c.caught())),
+        () -> "only " + cluster.violations());
   }
 }
--- /dev/null
+++ b/src/test/java/gladeknot/app/OwnershipFaultsTest.java
@@ -0,0 +1,140 @@
+package gladeknot.app;
+
+import static gladeknot.standin.SimulatedCluster.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import gladeknot.app.FaultScenarios.Case;
+import gladeknot.standin.ClusterSettings;
+import gladeknot.standin.SimulatedCluster;
+import gladeknot.standin.TestJobs;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.DynamicTest;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.TestFactory;
+
+/** Owners of shards that end, hand over and come back while jobs end and start. */
+class OwnershipFaultsTest {
+  private static final List<Case> CASES =
+      List.of(
+          new Case(
+              "jobs of two or three tasks end far apart across changes of owner",
+              7,
+              cluster -> {
+                cluster.submit(0, TestJobs.job("req-far1", "array", 3));
+                cluster.submit(1, TestJobs.job("req-far2", "array", 2));
+                cluster.submit(2, TestJobs.job("req-far3", "array", 3));
+                cluster.run(3 * SECOND);
+                cluster.kill(0);
+                cluster.faults().loseCommitResponses(2);
+                cluster.run(18 * SECOND);
+                cluster.start(0);
+                cluster.run(2 * SECOND);
+                cluster.kill(1, 2);
+                cluster.run(25 * SECOND);
+                cluster.start(1, 2);
+              }),
+          new Case(
+              "owners change ten times in two minutes, also inside an outage",
+              13,
+              cluster -> {
+                for (int i = 0; i < 10; i++) {
+                  cluster.kill(i % 3);
+                  cluster.faults().stateOutage(i == 4 || i == 5);
+                  cluster.run(9 * SECOND);
+                  cluster.start(i % 3);
+                  cluster.run(3 * SECOND);
+                }
+                cluster.faults().stateOutage(false);
+              }),
+          new Case(
+              "all controllers are away for longer than a lease",
+              14,
+              cluster -> {
+                cluster.cancel(0, "req-cut");
+                cluster.run(100_000);
+                cluster.kill(0, 1, 2);
+                cluster.run(ClusterSettings.LEASE + 6 * SECOND);
+                cluster.start(0, 1, 2);
+              }),
+          new Case(
+              "controllers hand over and back, all end, one returns, also within a second",
+              15,
+              cluster -> {
+                cluster.kill(0);
+                cluster.run(20 * SECOND);
+                cluster.start(0);
+                cluster.run(1_500_000);
+                cluster.kill(0, 1, 2);
+                cluster.run(400_000);
+                cluster.start(1);
+                cluster.run(15 * SECOND);
+                cluster.kill(1);
+                cluster.run(300_000);
+                cluster.start(0, 1, 2);
+              }),
+          new Case(
+              "a former life's announcement comes late, and its lease ends before ours",
+              23,
+              cluster -> {
+                // Unconditional, it took the liveness key along; the shard was taken while its
+                // owner, refused by the state service just then, still answered its workers.
+                cluster.kill(0);
+                cluster.run(SECOND);
+                cluster.faults().holdNextCommit("g/alive/node-0", 4 * SECOND);
+                cluster.start(0);
+                cluster.run(SECOND);
+                cluster.kill(0);
+                cluster.start(0);
+                cluster.run(2_900_000);
+                cluster.faults().rejectStateCalls(0, true);
+                cluster.run(30 * SECOND);
+                cluster.faults().rejectStateCalls(0, false);
+              }));
+
+  @TestFactory
+  Stream<DynamicTest> noRuleBreaksAndNothingIsForgotten() {
+    return FaultScenarios.tests(CASES);
+  }
+
+  /** A former life's announcement that is carried out late must not take the liveness key. */
+  @Test
+  void aLateAnnouncementDoesNotTakeTheLivenessKey() {
+    // given
+    SimulatedCluster cluster = FaultScenarios.clusterWithService(36);
+    cluster.kill(0);
+    cluster.run(SECOND);
+    cluster.faults().holdNextCommit("g/alive/node-0", 4 * SECOND);
+    cluster.start(0);
+    cluster.run(SECOND);
+    // when
+    cluster.kill(0);
+    cluster.start(0);
+    cluster.run(2 * SECOND);
+    // then
+    Object incarnation = cluster.state().get("g/alive/node-0").get("inc");
+    for (int i = 0; i < 300; i++) {
+      cluster.run(10_000);
+      assertEquals(incarnation, cluster.state().get("g/alive/node-0").get("inc"));
+    }
+  }
+
+  /** Delegates renew leases in turn: each cancelled task gets its kill from them as well. */
+  @Test
+  void delegatesStopWhatIsCancelled() {
+    // given
+    SimulatedCluster cluster = FaultScenarios.clusterWithService(35);
+    cluster.submit(0, TestJobs.job("req-cut", "service", 8));
+    cluster.run(6 * SECOND);
+    // when
+    cluster.kill(0);
+    cluster.run(SECOND);
+    cluster.cancel(1, "req-cut");
+    // Its lease holds for twice as long: nobody has taken its shard yet, and its workers live on.
+    cluster.run(6 * SECOND);
+    // then
+    assertEquals(Map.of(), cluster.zones("req-cut"));
+    assertEquals(4, FaultScenarios.runningTasks(cluster, "req-web"));
+  }
+}
--- /dev/null
+++ b/src/test/java/gladeknot/app/StateServiceFaultsTest.java
@@ -0,0 +1,153 @@
+package gladeknot.app;
+
+import static gladeknot.standin.SimulatedCluster.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import gladeknot.app.FaultScenarios.Case;
+import gladeknot.standin.ClusterSettings;
+import gladeknot.standin.SimulatedCluster;
+import gladeknot.standin.TestJobs;
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.DynamicTest;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.TestFactory;
+
+/** Faults of the state service, together with changes of owner and cancellations. */
+class StateServiceFaultsTest {
+  private static final List<Case> CASES =
+      List.of(
+          new Case(
+              "transactions without an answer are carried out after newer ones",
+              4,
+              cluster -> {
+                cluster.faults().lateCommitShare(0.3);
+                cluster.submit(0, TestJobs.job("req-more", "array", 20));
+                cluster.run(25 * SECOND);
+                cluster.cancel(1, "req-cut");
+                cluster.run(10 * SECOND);
+                cluster.faults().lateCommitShare(0);
+                cluster.run(12 * SECOND);
+              }),
+          new Case(
+              "the gap: refused alone, then an outage for all",
+              10,
+              cluster -> gap(cluster, 0, 2, 60)),
+          new Case(
+              "the gap, an owner refused just before", 11, cluster -> gap(cluster, 1, 0.3, 40)),
+          new Case("the gap with five controllers", 5, 12, cluster -> gap(cluster, 3, 8, 33)),
+          new Case(
+              "the state service answers slowly, refuses one and then all, while users cancel",
+              19,
+              cluster -> {
+                cluster.faults().delayStateCalls(900_000);
+                cluster.submit(0, TestJobs.job("req-slow", "array", 12));
+                cluster.run(10 * SECOND);
+                cluster.faults().rejectStateCalls(2, true);
+                cluster.cancel(0, "req-cut");
+                cluster.run(5 * SECOND);
+                cluster.faults().stateOutage(true);
+                cluster.run(ClusterSettings.CANCEL + 10 * SECOND);
+                cluster.faults().stateOutage(false);
+                cluster.faults().rejectStateCalls(2, false);
+                cluster.run(10 * SECOND);
+                cluster.faults().delayStateCalls(0);
+              }),
+          new Case(
+              "a former life's writes are carried out late, over and over",
+              21,
+              cluster -> {
+                for (int i = 0; i < 8; i++) {
+                  cluster.faults().lateCommitShare(0.6);
+                  cluster.kill(i % 3);
+                  cluster.run(250_000);
+                  cluster.start(i % 3);
+                  cluster.run(900_000);
+                  cluster.faults().lateCommitShare(0);
+                  cluster.run(7 * SECOND);
+                }
+              }));
+
+  @TestFactory
+  Stream<DynamicTest> noRuleBreaksAndNothingIsForgotten() {
+    return FaultScenarios.tests(CASES);
+  }
+
+  private static void gap(SimulatedCluster cluster, int refused, double before, long outageS) {
+    cluster.faults().rejectStateCalls(refused, true);
+    int other = (refused + 1) % 3;
+    cluster.run(200_000);
+    cluster.cancel(other, "req-cut");
+    cluster.run((long) (before * 1e6));
+    cluster.faults().stateOutage(true);
+    cluster.run(5 * SECOND);
+    cluster.faults().rejectStateCalls(refused, false);
+    cluster.run(outageS * SECOND);
+    cluster.faults().stateOutage(false);
+  }
+
+  /** An owner that lost the state service sends no start whose job may be cancelled by now. */
+  @Test
+  void committedStartsAreNotSentByAnOldCopy() {
+    // given
+    SimulatedCluster cluster = FaultScenarios.clusterWithService(32);
+    cluster.submit(0, TestJobs.job("req-cut", "service", 6));
+    cluster.run(60_000);
+    for (int i = 0; i < cluster.machineCount(); i++) {
+      cluster.machineFaults().blockOutbound(i, true);
+    }
+    cluster.run(900_000);
+    // when
+    for (int i = 0; i < 3; i++) {
+      cluster.faults().disconnectFromPeers(i, true);
+    }
+    cluster.faults().rejectStateCalls(0, true);
+    cluster.faults().rejectStateCalls(1, true);
+    cluster.cancel(2, "req-cut");
+    cluster.run(7_300_000);
+    for (int i = 0; i < cluster.machineCount(); i++) {
+      cluster.machineFaults().blockOutbound(i, false);
+    }
+    cluster.run(10 * SECOND);
+    // then
+    assertEquals("withdrawn", cluster.phase("req-cut"));
+    assertEquals(List.of(), cluster.violations());
+  }
+
+  /**
+   * A request that meets a change which the controller's copy does not get to see is refused, not
+   * kept.
+   */
+  @Test
+  void aRequestDoesNotWaitForAWatchThatHangs() {
+    // given
+    SimulatedCluster cluster = FaultScenarios.clusterWithService(34);
+    cluster.faults().stallWatch(2, true);
+    cluster.run(300_000);
+    cluster.submit(0, TestJobs.job("req-new", "array", 2));
+    cluster.run(SECOND);
+    int[] status = {0};
+    // when
+    cluster.request(
+        2,
+        "POST",
+        "/work",
+        TestJobs.job("req-new", "array", 2),
+        answer -> status[0] = answer.status());
+    cluster.run(4 * SECOND);
+    // then
+    assertEquals(503, status[0]);
+    // when
+    cluster.faults().stallWatch(2, false);
+    cluster.run(15 * SECOND);
+    cluster.request(
+        2,
+        "POST",
+        "/work",
+        TestJobs.job("req-new", "array", 2),
+        answer -> status[0] = answer.status());
+    cluster.run(2 * SECOND);
+    // then
+    assertEquals(200, status[0]);
+  }
+}
--- /dev/null
+++ b/src/test/java/gladeknot/app/TransactionSizeTest.java
@@ -0,0 +1,65 @@
+package gladeknot.app;
+
+import static gladeknot.standin.SimulatedCluster.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import gladeknot.standin.ClusterScale;
+import gladeknot.standin.SimulatedCluster;
+import gladeknot.standin.TestJobs;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Transactions and values stay within what the state service takes. */
+class TransactionSizeTest {
+  /** A claim from a part that is full must not make it larger than the service takes. */
+  @Test
+  void claimsLeaveFullPartsAlone() {
+    // given
+    SimulatedCluster cluster =
+        new SimulatedCluster(3, 38, new ClusterScale(30, 120_000, 300, 150, 1400));
+    cluster.taskDuration(9 * SECOND);
+    cluster.run(3 * SECOND);
+    for (int i = 0; i < 60; i++) {
+      cluster.submit(i % 3, TestJobs.job("req-some" + i, "array", 7));
+      cluster.run(i % 10 == 0 ? 2 * SECOND : 100_000);
+    }
+    // when
+    cluster.kill(0);
+    cluster.run(25 * SECOND);
+    cluster.start(0);
+    cluster.startPolling();
+    cluster.run(SECOND);
+    cluster.expectRecovery();
+    cluster.run(200 * SECOND);
+    // then
+    assertEquals(0, cluster.state().rejectedForSize());
+    assertEquals(List.of(), cluster.violations());
+    for (String id : cluster.jobs()) {
+      assertEquals("done", cluster.phase(id), id);
+    }
+  }
+
+  /** Much begins at once after an outage: transactions stay within what the service takes. */
+  @Test
+  void transactionsStayWithinTheirSizeAfterAnOutage() {
+    // given
+    SimulatedCluster cluster = new SimulatedCluster(3, 33, new ClusterScale(90, 360_000, 300, 150));
+    cluster.taskDuration(300 * SECOND);
+    cluster.run(3 * SECOND);
+    for (int i = 0; i < 300; i++) {
+      cluster.submit(i % 3, TestJobs.job("req-one" + i, "array", 1));
+    }
+    cluster.run(25 * SECOND);
+    // when
+    cluster.faults().stateOutage(true);
+    cluster.run(40 * SECOND);
+    cluster.faults().stateOutage(false);
+    cluster.faults().delayStateCalls(800_000);
+    cluster.run(40 * SECOND);
+    // then
+    assertEquals(0, cluster.state().rejectedForSize());
+    assertTrue(cluster.tasksOnMachines() > 250, "only " + cluster.tasksOnMachines());
+    assertEquals(List.of(), cluster.violations());
+  }
+}
--- a/src/test/java/gladeknot/standin/SimulatedCluster.java
+++ b/src/test/java/gladeknot/standin/SimulatedCluster.java
@@ -136,14 +136,18 @@
     return cloud;
   }
 
-  /** Starts a controller without any memory of its former life. */
-  public void start(int node) {
-    controllers.start(node);
+  /** Starts controllers, in this order, without any memory of their former lives. */
+  public void start(int... nodes) {
+    for (int node : nodes) {
+      controllers.start(node);
+    }
   }
 
-  /** Ends a controller; what it has sent may still arrive. */
-  public void kill(int node) {
-    controllers.kill(node);
+  /** Ends controllers; what they have sent may still arrive. */
+  public void kill(int... nodes) {
+    for (int node : nodes) {
+      controllers.kill(node);
+    }
   }
 
   /** Stops a controller for a while, or lets it go on. */
