--- a/src/main/java/gladeknot/fleet/ScaleIn.java
+++ b/src/main/java/gladeknot/fleet/ScaleIn.java
@@ -1,5 +1,7 @@
 package gladeknot.fleet;
 
+import gladeknot.commit.FieldMutation;
+import gladeknot.commit.MutationCallback;
 import gladeknot.commit.TransactionCommitter;
 import gladeknot.connectivity.ControlAction;
 import gladeknot.json.Json;
@@ -11,11 +13,11 @@
 import gladeknot.state.TokenBucket;
 import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerRecordCodec;
 import gladeknot.workers.WorkerRegistry;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -253,15 +255,15 @@
       }
       return;
     }
-    scheduler.onMachineGone(host, "machine released");
+    scheduler.onWorkerReleased(host);
     if (worker != null && worker.registered()) {
-      edit(host, shard, worker.record(), Worker.RELEASED, ok -> {});
+      edit(host, shard, worker.record(), WorkerRecordCodec.RELEASED, ok -> {});
     }
   }
 
-  private void edit(String host, int shard, String from, String to, Consumer<Boolean> then) {
+  private void edit(String host, int shard, String from, String to, MutationCallback then) {
     recordWriter.submit(
-        new TransactionCommitter.FieldMutation(
-            shard, Worker.key(host), Worker.field(host), from, to, then));
+        new FieldMutation(
+            shard, WorkerRecordCodec.key(host), WorkerRecordCodec.field(host), from, to, then));
   }
 }
--- a/src/test/java/gladeknot/jobs/JobRegistryTest.java
+++ b/src/test/java/gladeknot/jobs/JobRegistryTest.java
@@ -6,7 +6,7 @@
 
 import gladeknot.json.Json;
 import gladeknot.standin.TestJobs;
-import gladeknot.state.StateStore;
+import gladeknot.state.Entry;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -30,15 +30,15 @@
   }
 
   private void put(String id, Map<String, Object> record) {
-    jobs.onChange(Job.key(id), new StateStore.Entry(record, ++stamp));
+    jobs.onChange(Job.key(id), new Entry(record, ++stamp));
   }
 
   private void done(String id) {
-    put(id, Job.done(1, 2_000));
+    put(id, JobRecordCodec.encodeDone(1, 2_000));
   }
 
   private void withdraw(String id) {
-    put(id, Job.cancelled(1));
+    put(id, JobRecordCodec.encodeCancelled(1));
   }
 
   @Test
@@ -64,13 +64,13 @@
       for (String name : order) {
         Map<String, Object> record =
             switch (name) {
-              case "a" -> Job.cancelled(1);
-              case "b" -> Job.done(1, 5_000);
+              case "a" -> JobRecordCodec.encodeCancelled(1);
+              case "b" -> JobRecordCodec.encodeDone(1, 5_000);
               case "c" -> record("req-c", "req-b");
               case "d" -> record("req-d", "req-c", "req-a");
               default -> record("req-e", "req-d");
             };
-        read.onChange(Job.key("req-" + name), new StateStore.Entry(record, 1));
+        read.onChange(Job.key("req-" + name), new Entry(record, 1));
       }
       assertEquals(5_000, read.active("req-c").readyMicros());
       assertTrue(read.isFinished("req-d") && read.isFinished("req-e"), order.toString());
--- a/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
@@ -7,10 +7,12 @@
 import gladeknot.json.Json;
 import gladeknot.outbox.Outbox;
 import gladeknot.policy.Policy;
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import gladeknot.standin.ClusterScale;
 import gladeknot.standin.ClusterSettings;
 import gladeknot.standin.TestJobs;
+import gladeknot.state.Entry;
 import gladeknot.state.StateStore;
 import gladeknot.tasks.RuntimeEstimates;
 import gladeknot.tasks.SliceRegistry;
@@ -83,7 +85,7 @@
   @TestFactory
   Stream<DynamicTest> order() {
     Settings usual = ClusterSettings.of(0, 1, ClusterScale.SMALL);
-    Settings more = with(usual, "wait", 180, "finished", 300);
+    Settings more = with(usual, ObjectiveKind.WAIT, 180, ObjectiveKind.FINISHED, 300);
     return Stream.concat(
         CASES.stream().map(c -> test(c, usual)), WITH_OTHER_AIMS.stream().map(c -> test(c, more)));
   }
@@ -92,7 +94,8 @@
     return DynamicTest.dynamicTest(c.name(), () -> assertEquals(c.order(), order(c, settings)));
   }
 
-  private static Settings with(Settings s, String first, long firstS, String then, long thenS) {
+  private static Settings with(
+      Settings s, ObjectiveKind first, long firstS, ObjectiveKind then, long thenS) {
     List<Settings.Objective> objectives = new ArrayList<>(s.objectives());
     objectives.add(new Settings.Objective(first, "batch", firstS * SECOND, 0.99, 0));
     objectives.add(new Settings.Objective(then, "batch", thenS * SECOND, 0.99, 0));
@@ -124,7 +127,7 @@
       Map<String, Object> spec = TestJobs.job(w.id(), "array", w.tasks());
       spec.put("dueS", w.dueS());
       long at = NOW - w.agoS() * SECOND;
-      jobs.onChange(Job.key(w.id()), new StateStore.Entry(Json.of("s", spec, "h", 0, "t", at), 1));
+      jobs.onChange(Job.key(w.id()), new Entry(Json.of("s", spec, "h", 0, "t", at), 1));
       slices.jobChanged(w.id(), jobs.active(w.id()));
     }
     DeadlineOrder urgency =
--- a/src/test/java/gladeknot/standin/ClusterSettings.java
+++ b/src/test/java/gladeknot/standin/ClusterSettings.java
@@ -2,6 +2,7 @@
 
 import static gladeknot.standin.SimulatedClock.SECOND;
 
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import java.util.ArrayList;
 import java.util.List;
@@ -34,9 +35,9 @@
         0,
         Map.of("dev", new Settings.Team("dev", scale.teamCpus() / 3, scale.teamCpus(), 0, 0)),
         List.of(
-            new Settings.Objective("deadline", "batch", 0, 0.9, 1),
-            new Settings.Objective("deadline", "batch", 0, 0.95, 1.5),
-            new Settings.Objective("wait", "scan", 5 * SECOND, 0.9, 0)),
+            new Settings.Objective(ObjectiveKind.DEADLINE, "batch", 0, 0.9, 1),
+            new Settings.Objective(ObjectiveKind.DEADLINE, "batch", 0, 0.95, 1.5),
+            new Settings.Objective(ObjectiveKind.WAIT, "scan", 5 * SECOND, 0.9, 0)),
         new Settings.Workers(HEARTBEAT_INTERVAL, LEASE, 30 * SECOND, 5 * SECOND, CANCEL),
         new Settings.StateLimits(
             scale.stateRps(), scale.writeRps(), scale.valueBytes(), ClusterScale.OPERATIONS),
--- a/tools/fingerprints.sh
+++ b/tools/fingerprints.sh
@@ -10,7 +10,7 @@
 recorded=src/test/fingerprints/clusters.txt
 measured=$PWD/target/fingerprints.txt
 # Property tests draw their own schedules, and have no cases to compare.
-tests=$(grep -rl 'new SimulatedCluster(' src/test/java --include='*Test.java' |
+tests=$(grep -rlE 'new SimulatedCluster\(|FaultScenarios\.' src/test/java --include='*Test.java' |
   grep -v PropertiesTest | xargs -n 1 basename -s .java | paste -sd, -)
 mkdir -p target "$(dirname "$recorded")"
 rm -f "$measured"
