--- a/src/main/java/gladeknot/fleet/StartDeadlines.java
+++ b/src/main/java/gladeknot/fleet/StartDeadlines.java
@@ -3,6 +3,7 @@
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobSpec;
 import gladeknot.policy.Policy;
+import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
 import java.util.Optional;
 
@@ -35,7 +36,7 @@
   /** The objective for how long tasks of a class wait; empty if it has none. */
   Optional<Settings.Objective> waitObjective(String jobClass) {
     for (Settings.Objective objective : settings.objectives()) {
-      if (objective.kind().equals("wait") && jobClass.equals(objective.jobClass())) {
+      if (objective.kind() == ObjectiveKind.WAIT && jobClass.equals(objective.jobClass())) {
         return Optional.of(objective);
       }
     }
@@ -67,7 +68,8 @@
     long ageMicros = Math.max(0, clock.wallMicros() - job.submittedMicros());
     long soonestMicros = catalog.soonestStartMicros(spec);
     for (Settings.Objective objective : settings.objectives()) {
-      if (objective.kind().equals("deadline") && spec.jobClass().equals(objective.jobClass())) {
+      if (objective.kind() == ObjectiveKind.DEADLINE
+          && spec.jobClass().equals(objective.jobClass())) {
         long slackMicros =
             (long) (spec.deadlineMicros() * objective.times())
                 - ageMicros
