--- a/src/main/java/gladeknot/fleet/IdleMachineTransfer.java
+++ b/src/main/java/gladeknot/fleet/IdleMachineTransfer.java
@@ -72,7 +72,7 @@
     return type.fits(spec) > 0;
   }
 
-  /** The worker has seen our term; its new owner raises its own above it before it answers. */
+  /** The worker has seen this owner's term; the new owner raises its own above it to answer it. */
   private void transfer(Worker worker, int toShard, String jobId) {
     LOG.info(
         "machine transferred host={} from_shard={} to_shard={} job={}",
--- a/src/main/java/gladeknot/fleet/InstanceCatalog.java
+++ b/src/main/java/gladeknot/fleet/InstanceCatalog.java
@@ -14,6 +14,8 @@
  * The machine types that the cloud lists, and its offerings of them. Empty until they are known.
  */
 public final class InstanceCatalog {
+  private static final double MICROS_PER_S = 1e6;
+
   private final Map<String, MachineType> types = new LinkedHashMap<>();
   private final Map<String, InstanceOffering> offerings = new LinkedHashMap<>();
 
@@ -106,7 +108,12 @@
 
   /** How long an instance requested now takes to boot and to fetch a task's image. */
   static long startMicros(JobSpec spec, MachineType type) {
-    return type.readyMicros() + (long) (spec.imageGb() / type.fetchGbPerS() * 1e6);
+    return type.readyMicros() + fetchMicros(spec, type);
+  }
+
+  /** How long a machine of a type takes to fetch a job's image. */
+  static long fetchMicros(JobSpec spec, MachineType type) {
+    return (long) (spec.imageGb() / type.fetchGbPerS() * MICROS_PER_S);
   }
 
   /** Whether a job allows a type, and an empty machine of it takes a task. */
--- a/src/main/java/gladeknot/fleet/MachineTimeline.java
+++ b/src/main/java/gladeknot/fleet/MachineTimeline.java
@@ -136,6 +136,6 @@
 
   /** How long the machine takes to fetch a job's image; 0 if it has it. */
   long fetchMicros(JobSpec spec) {
-    return hasImage(spec.image()) ? 0 : (long) (spec.imageGb() / type.fetchGbPerS() * 1e6);
+    return hasImage(spec.image()) ? 0 : InstanceCatalog.fetchMicros(spec, type);
   }
 }
--- a/src/main/java/gladeknot/fleet/OfferingSelector.java
+++ b/src/main/java/gladeknot/fleet/OfferingSelector.java
@@ -20,6 +20,8 @@
   /** What each machine of a zone adds to the price there when tasks are to be spread over zones. */
   private static final double ZONE_BALANCE_FACTOR = 0.05;
 
+  private static final double MICROS_PER_S = 1e6;
+
   private final InstanceCatalog catalog;
   private final Policy policy;
   private final WorkerRegistry workers;
@@ -115,7 +117,7 @@
     double score = offering.price() / Math.min(type.fits(request.spec()), request.count());
     score *= 1 + type.readyMicros() / BOOT_PENALTY_MICROS;
     if (upMicros > request.latestStartMicros()) {
-      score += LATENESS_COST_PER_S * (upMicros - request.latestStartMicros()) / 1e6;
+      score += LATENESS_COST_PER_S * (upMicros - request.latestStartMicros()) / MICROS_PER_S;
     }
     if (request.spec().spread()) {
       score *= 1 + ZONE_BALANCE_FACTOR * machinesByZone.getOrDefault(offering.zone(), 0);
--- a/src/main/java/gladeknot/fleet/WorkerRegistration.java
+++ b/src/main/java/gladeknot/fleet/WorkerRegistration.java
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Registers a machine that no scale-out request of ours accounts for, for a shard we own. */
+  /** Registers a machine that no scale-out request accounts for, for an owned shard. */
   void registerUnknown(String host, int shard, String type, String zone, boolean spot) {
     register(host, shard, new WorkerRecord(shard, type, zone, spot, clock.wallMicros(), false));
   }
