--- a/src/main/java/gladeknot/app/FleetSchedulerView.java
+++ b/src/main/java/gladeknot/app/FleetSchedulerView.java
@@ -3,6 +3,7 @@
 import gladeknot.fleet.SchedulerView;
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobSpec;
+import gladeknot.scheduling.PendingDemand;
 import gladeknot.scheduling.Scheduler;
 import gladeknot.tasks.Attempt;
 import gladeknot.tasks.RuntimeEstimates;
@@ -21,14 +22,14 @@
   @Override
   public List<PendingTasks> pendingTasks() {
     List<PendingTasks> queue = new ArrayList<>();
-    for (Scheduler.PendingDemand demand : scheduler.demandQueue().pending()) {
+    for (PendingDemand demand : scheduler.pendingDemand()) {
       queue.add(
           new PendingTasks(
               demand.job(),
               demand.shard(),
               demand.count(),
               demand.owned(),
-              demand.starved(),
+              demand.starving(),
               demand.tasksByZone()));
     }
     return queue;
--- a/src/main/java/gladeknot/tasks/Attempt.java
+++ b/src/main/java/gladeknot/tasks/Attempt.java
@@ -65,10 +65,12 @@
     return new TaskTracer.AttemptId(slice.job(), name, number);
   }
 
+  /** The slice that its task belongs to. */
   public Slice slice() {
     return slice;
   }
 
+  /** The task's number in its job. */
   public int task() {
     return task;
   }
@@ -78,6 +80,7 @@
     return number;
   }
 
+  /** The machine's name. */
   public String host() {
     return host;
   }
@@ -87,6 +90,7 @@
     return name;
   }
 
+  /** When the start was decided, or read from a record. */
   public long decidedMicros() {
     return decidedMicros;
   }
@@ -96,6 +100,11 @@
     return committed;
   }
 
+  /** Whether another object stands for the same start. */
+  boolean isSameStart(Attempt other) {
+    return number == other.number && host.equals(other.host);
+  }
+
   /** The start has been committed. */
   public void markCommitted() {
     committed = true;
@@ -186,6 +195,7 @@
     unacknowledgedRuns++;
   }
 
+  /** The phase by the newest heartbeat of its machine. */
   public ObservedPhase observedPhase() {
     return observedPhase;
   }
@@ -209,6 +219,7 @@
     return killRequestedMicros;
   }
 
+  /** Whether a kill was requested. */
   public boolean killRequested() {
     return killRequestedMicros != 0;
   }
@@ -228,7 +239,7 @@
     return Math.max(0, graceSeconds - (nowMicros - killRequestedMicros) / MICROS_PER_SECOND);
   }
 
-  /** Whether its job is finished: whoever acts for the shard wants it to end. */
+  /** Whether its job is finished: the owner of its shard kills it. */
   public boolean jobFinished() {
     return jobFinished;
   }
@@ -238,8 +249,9 @@
     jobFinished = true;
   }
 
+  /** Its identity in log lines, for example {@code req-1/3#12 host=vm-000231}. */
   @Override
   public String toString() {
-    return name() + " attempt " + number + " on " + host;
+    return name() + "#" + number + " host=" + host;
   }
 }
--- a/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
@@ -24,7 +24,7 @@
   /** Two machines of 16 CPUs and 2 GPUs, three of 4 CPUs. */
   @ParameterizedTest
   @CsvSource({"6.0, 1.0, 4", "6.0, 2.0, 2", "2.0, 0.0, 6", "4.0, 0.0, 3"})
-  void places(double cpus, double gpus, int places) throws MalformedJobException {
+  void taskSlots(double cpus, double gpus, int slots) throws MalformedJobException {
     WorkerRegistry workers = new WorkerRegistry();
     enter(workers, 1, "accelerated");
     enter(workers, 2, "accelerated");
@@ -37,7 +37,7 @@
     Map<String, Object> job = SimulatedCluster.job("req-1", "array", 8);
     job.put("cores", cpus);
     job.put("accelerators", gpus);
-    assertEquals(places, capacity.places(JobSpecCodec.decode(job), NOW, NOW));
+    assertEquals(slots, capacity.taskSlots(JobSpecCodec.decode(job), NOW, NOW));
   }
 
   private static void enter(WorkerRegistry workers, int number, String type) {
--- a/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
+++ b/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
@@ -22,7 +22,8 @@
   private static final long STEP = 6 * SECOND + 3 * SECOND;
 
   private final JobRegistry jobs = new JobRegistry((before, now) -> {});
-  private final PriorityInheritance urgency = new PriorityInheritance(jobs, new RuntimeEstimates());
+  private final PriorityInheritance inheritance =
+      new PriorityInheritance(jobs, new RuntimeEstimates());
   private long stamp;
 
   private void accept(String id, String rank, Double dueS, String... needs) {
@@ -31,7 +32,7 @@
     spec.put("dueS", dueS);
     Map<String, Object> data = Json.of("s", spec, "h", 0, "t", NOW);
     jobs.onChange(Job.key(id), new Entry(data, ++stamp));
-    urgency.refresh();
+    inheritance.refresh();
   }
 
   @Test
@@ -39,13 +40,13 @@
     accept("req-a", "idle", null);
     accept("req-b", "normal", null, "req-a");
     accept("req-c", "idle", null, "req-a");
-    assertEquals(JobSpec.Priority.NORMAL, urgency.priority(jobs.active("req-a")));
-    assertEquals(PriorityInheritance.NEVER, urgency.latestEndMicros(jobs.active("req-a")));
+    assertEquals(JobSpec.Priority.NORMAL, inheritance.priority(jobs.active("req-a")));
+    assertEquals(PriorityInheritance.NEVER, inheritance.latestEndMicros(jobs.active("req-a")));
     // The last of a pipeline is submitted late, and raises those that run already.
     accept("req-d", "high", 100.0, "req-b", "req-c");
-    assertEquals(JobSpec.Priority.HIGH, urgency.priority(jobs.active("req-a")));
-    assertEquals(NOW + 100 * SECOND - 2 * STEP, urgency.latestEndMicros(jobs.active("req-a")));
-    assertEquals(NOW + 100 * SECOND - STEP, urgency.latestEndMicros(jobs.unfinished("req-c")));
+    assertEquals(JobSpec.Priority.HIGH, inheritance.priority(jobs.active("req-a")));
+    assertEquals(NOW + 100 * SECOND - 2 * STEP, inheritance.latestEndMicros(jobs.active("req-a")));
+    assertEquals(NOW + 100 * SECOND - STEP, inheritance.latestEndMicros(jobs.unfinished("req-c")));
   }
 
   @Test
@@ -53,9 +54,9 @@
     accept("req-a", "idle", null);
     accept("req-b", "high", 50.0, "req-a");
     jobs.onChange(Job.key("req-b"), new Entry(Map.of("p", "withdrawn", "n", 2), ++stamp));
-    urgency.refresh();
-    assertEquals(JobSpec.Priority.IDLE, urgency.priority(jobs.active("req-a")));
-    assertEquals(PriorityInheritance.NEVER, urgency.latestEndMicros(jobs.active("req-a")));
+    inheritance.refresh();
+    assertEquals(JobSpec.Priority.IDLE, inheritance.priority(jobs.active("req-a")));
+    assertEquals(PriorityInheritance.NEVER, inheritance.latestEndMicros(jobs.active("req-a")));
   }
 
   @Test
