--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -93,7 +93,7 @@
     boolean ready =
         components.stateStore.loaded()
             && components.membership.mayAct()
-            && components.fleet.typesKnown();
+            && components.catalog.isKnown();
     if (ready) {
       components.outbox.answer(request, OK, Json.of("ok", true));
     } else {
--- a/src/main/java/gladeknot/app/ControllerComponents.java
+++ b/src/main/java/gladeknot/app/ControllerComponents.java
@@ -6,6 +6,7 @@
 import gladeknot.connectivity.FailoverAdvisor;
 import gladeknot.connectivity.HeartbeatObserver;
 import gladeknot.fleet.Fleet;
+import gladeknot.fleet.InstanceCatalog;
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobRequestHandler;
@@ -22,7 +23,6 @@
 import gladeknot.tasks.SliceRegistry;
 import gladeknot.tracing.TaskTracer;
 import gladeknot.workers.HeartbeatHandler;
-import gladeknot.workers.MachineType;
 import gladeknot.workers.WorkerRegistry;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
@@ -36,6 +36,7 @@
 final class ControllerComponents {
   final Outbox outbox = new Outbox();
   final WorkerRegistry workers = new WorkerRegistry();
+  final InstanceCatalog catalog = new InstanceCatalog();
 
   /** Present with the feature {@code partial-cuts}. */
   final Optional<ConnectivityMonitor> connectivity;
@@ -67,11 +68,9 @@
     committer = new TransactionCommitter(stateStore, membership, jobs, slices, tracer);
     lifecycle = newLifecycle(settings, tracer);
     quota = new QuotaAllocator(settings, stateStore, membership, slices, committer, outbox);
-    fleet =
-        new Fleet(settings, policy, stateStore, membership, workers, committer, lifecycle, outbox);
     scheduler = newScheduler(settings, policy);
-    fleet.setPlacer(scheduler);
-    homeShards = new HomeShardSelector(settings, membership, jobs, workers, fleet::type);
+    fleet = newFleet(settings, policy);
+    homeShards = new HomeShardSelector(settings, membership, jobs, workers, catalog::type);
     jobRequests = newJobRequests(settings, tracer);
     heartbeats = newHeartbeats(settings);
     committer.afterCommit(this::onCommit);
@@ -99,7 +98,7 @@
 
   private TaskLifecycle newLifecycle(Settings settings, TaskTracer tracer) {
     return new TaskLifecycle(
-        settings, membership, jobs, slices, workers, committer, outbox, this::cacheGb, tracer);
+        settings, membership, jobs, slices, workers, committer, outbox, catalog::cacheGb, tracer);
   }
 
   private Scheduler newScheduler(Settings settings, Policy policy) {
@@ -113,8 +112,22 @@
         committer,
         quota,
         lifecycle,
-        fleet::type,
-        fleet::zonesOffered);
+        catalog::type,
+        catalog::zones);
+  }
+
+  private Fleet newFleet(Settings settings, Policy policy) {
+    return new Fleet(
+        settings,
+        policy,
+        stateStore,
+        membership,
+        workers,
+        committer,
+        lifecycle,
+        outbox,
+        catalog,
+        new FleetSchedulerView(scheduler));
   }
 
   private JobRequestHandler newJobRequests(Settings settings, TaskTracer tracer) {
@@ -133,12 +146,6 @@
         new HeartbeatReconciler(this));
   }
 
-  /** The image cache of a machine type, in GB; 0 for an unknown type. */
-  private double cacheGb(String typeName) {
-    MachineType type = fleet.type(typeName);
-    return type == null ? 0 : type.cacheGb();
-  }
-
   private void onCommit() {
     lifecycle.requestScheduling();
     heartbeats.release();
--- a/src/main/java/gladeknot/app/JobClusterView.java
+++ b/src/main/java/gladeknot/app/JobClusterView.java
@@ -20,12 +20,12 @@
 
   @Override
   public boolean typesKnown() {
-    return components.fleet.typesKnown();
+    return components.catalog.isKnown();
   }
 
   @Override
   public boolean fitsSomeType(JobSpec spec) {
-    return components.fleet.fitsSomeType(spec);
+    return components.catalog.fitsSomeType(spec);
   }
 
   @Override
--- a/src/main/java/gladeknot/commit/KeyMutation.java
+++ b/src/main/java/gladeknot/commit/KeyMutation.java
@@ -1,6 +1,7 @@
 package gladeknot.commit;
 
 import gladeknot.state.Mutation;
+import java.util.List;
 import java.util.Map;
 
 /**
@@ -12,4 +13,15 @@
  * @param callback receives the outcome
  */
 public record KeyMutation(
-    int shard, Mutation mutation, Map<String, Long> conditions, MutationCallback callback) {}
+    int shard, Mutation mutation, Map<String, Long> conditions, MutationCallback callback) {
+
+  /** Whether it was decided on the revision of one of some keys. */
+  boolean reliesOnAny(List<String> keys) {
+    for (String key : keys) {
+      if (conditions.containsKey(key)) {
+        return true;
+      }
+    }
+    return false;
+  }
+}
