--- a/src/main/java/gladeknot/app/ControllerComponents.java
+++ b/src/main/java/gladeknot/app/ControllerComponents.java
@@ -48,7 +48,6 @@
   final TransactionCommitter committer;
   final TaskLifecycle lifecycle;
   final QuotaAllocator quota;
-  final InstanceCatalog catalog = new InstanceCatalog();
   final Scheduler scheduler;
   final Fleet fleet;
   final HomeShardSelector homeShards;
