--- a/src/test/java/gladeknot/app/CheckerTest.java
+++ b/src/test/java/gladeknot/app/CheckerTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** The world's checker catches each broken rule; without this a day that holds would say little. */
+/** The checkers of a simulation catch each broken rule; without this a passed test says little. */
 class CheckerTest {
   private record Case(String caught, Consumer<SimulatedCluster> breach) {}
 
--- a/src/test/java/gladeknot/app/LoadTest.java
+++ b/src/test/java/gladeknot/app/LoadTest.java
@@ -18,23 +18,23 @@
 
   @Test
   void theLargestBeginHoweverMuchSmallWorkComes() {
-    SimulatedCluster w = new SimulatedCluster(3, 31);
-    w.run(3 * SECOND);
+    SimulatedCluster cluster = new SimulatedCluster(3, 31);
+    cluster.run(3 * SECOND);
     int n = 0;
     // More than the team's limit lets run: 24 tasks at once of 6 s, and 6 tasks come each second.
     for (int s = 0; s < 15; s++) {
-      w.submit(n % 3, TestJobs.job("req-small-" + n++, "array", 6));
-      w.run(SECOND);
+      cluster.submit(n % 3, TestJobs.job("req-small-" + n++, "array", 6));
+      cluster.run(SECOND);
     }
-    w.submit(0, TestJobs.job("req-large", "array", 60));
-    w.submit(1, TestJobs.job("req-gang", "ensemble", 3));
+    cluster.submit(0, TestJobs.job("req-large", "array", 60));
+    cluster.submit(1, TestJobs.job("req-gang", "ensemble", 3));
     for (int s = 0; s < 235; s++) {
-      w.submit(n % 3, TestJobs.job("req-small-" + n++, "array", 6));
-      w.run(SECOND);
+      cluster.submit(n % 3, TestJobs.job("req-small-" + n++, "array", 6));
+      cluster.run(SECOND);
     }
-    assertTrue(w.doneTasks("req-large") > 0);
-    assertEquals(3, w.doneTasks("req-gang"));
-    assertEquals(List.of(), w.violations());
+    assertTrue(cluster.doneTasks("req-large") > 0);
+    assertEquals(3, cluster.doneTasks("req-gang"));
+    assertEquals(List.of(), cluster.violations());
   }
 
   /**
@@ -43,26 +43,26 @@
    */
   @Test
   void startsReachMachinesThatHaveNothingToDoBeforeTheirNextReport() {
-    SimulatedCluster w = new SimulatedCluster(3, 33);
-    w.run(3 * SimulatedCluster.SECOND);
+    SimulatedCluster cluster = new SimulatedCluster(3, 33);
+    cluster.run(3 * SimulatedCluster.SECOND);
     // Machines of the ordinary kind, empty when the others come.
-    w.submit(0, TestJobs.job("req-gone", "service", 20));
-    w.run(10 * SimulatedCluster.SECOND);
-    w.cancel(0, "req-gone");
-    w.run(4 * SimulatedCluster.SECOND);
+    cluster.submit(0, TestJobs.job("req-gone", "service", 20));
+    cluster.run(10 * SimulatedCluster.SECOND);
+    cluster.cancel(0, "req-gone");
+    cluster.run(4 * SimulatedCluster.SECOND);
     long waited = 0;
     int jobs = 12;
     for (int i = 0; i < jobs; i++) {
       String id = "req-web-" + i;
-      w.submit(i % 3, TestJobs.job(id, "service", 1));
-      while (w.zones(id).isEmpty()) {
-        w.run(SimulatedCluster.SECOND / 50);
+      cluster.submit(i % 3, TestJobs.job(id, "service", 1));
+      while (cluster.zones(id).isEmpty()) {
+        cluster.run(SimulatedCluster.SECOND / 50);
         waited += SimulatedCluster.SECOND / 50;
       }
-      w.run(SimulatedCluster.SECOND / 3);
+      cluster.run(SimulatedCluster.SECOND / 3);
     }
     assertTrue(waited / jobs < MAX_WAIT, waited / jobs + " us from submission to start");
-    assertEquals(List.of(), w.violations());
+    assertEquals(List.of(), cluster.violations());
   }
 
   @Test
@@ -81,50 +81,51 @@
   @Test
   void fourThousandMachinesAreRentedAndUsed() {
     int machines = 4200;
-    SimulatedCluster w = new SimulatedCluster(5, 34, new ClusterScale(machines, 0, 400, 200));
-    w.run(3 * SECOND);
+    SimulatedCluster cluster = new SimulatedCluster(5, 34, new ClusterScale(machines, 0, 400, 200));
+    cluster.run(3 * SECOND);
     for (int i = 0; i < 6; i++) {
       var job = TestJobs.job("req-web-" + i, "service", machines / 6);
       job.put("cores", 4.0);
       job.put("scatter", false);
-      w.submit(i % 5, job);
+      cluster.submit(i % 5, job);
     }
-    w.run(27 * SECOND);
-    int before = w.tasksOnMachines();
+    cluster.run(27 * SECOND);
+    int before = cluster.tasksOnMachines();
     assertTrue(before > 4000, before + " tasks on machines");
     for (int i = 0; i < 5; i++) {
-      w.kill(i);
+      cluster.kill(i);
     }
-    w.run(2 * SECOND);
+    cluster.run(2 * SECOND);
     for (int i = 0; i < 5; i++) {
-      w.start(i);
+      cluster.start(i);
     }
-    w.run(12 * SECOND);
-    assertTrue(w.tasksOnMachines() >= before, w.tasksOnMachines() + " of " + before + " left");
-    assertEquals(List.of(), w.violations());
+    cluster.run(12 * SECOND);
+    assertTrue(
+        cluster.tasksOnMachines() >= before, cluster.tasksOnMachines() + " of " + before + " left");
+    assertEquals(List.of(), cluster.violations());
   }
 
   private static double writesForEachTask(int machines) {
-    SimulatedCluster w =
+    SimulatedCluster cluster =
         new SimulatedCluster(3, 32, new ClusterScale(machines, machines * 4000L, 300, 60));
-    w.run(3 * SECOND);
+    cluster.run(3 * SECOND);
     List<String> jobs = new ArrayList<>();
     int tasks = machines * 4;
     for (int i = 0; i < 5; i++) {
       String id = "req-batch-" + i;
       jobs.add(id);
-      w.submit(i % 3, TestJobs.job(id, "array", tasks));
+      cluster.submit(i % 3, TestJobs.job(id, "array", tasks));
     }
-    long before = w.state().writes();
-    w.run(90 * SECOND);
+    long before = cluster.state().writes();
+    cluster.run(90 * SECOND);
     for (String id : jobs) {
-      w.poll(0, id);
+      cluster.poll(0, id);
     }
-    w.run(SECOND);
+    cluster.run(SECOND);
     for (String id : jobs) {
-      assertEquals("done", w.phase(id));
+      assertEquals("done", cluster.phase(id));
     }
-    assertEquals(List.of(), w.violations());
-    return (w.state().writes() - before) / (double) (5 * tasks);
+    assertEquals(List.of(), cluster.violations());
+    return (cluster.state().writes() - before) / (double) (5 * tasks);
   }
 }
--- a/src/test/java/gladeknot/app/UpgradeTest.java
+++ b/src/test/java/gladeknot/app/UpgradeTest.java
@@ -39,110 +39,110 @@
 
   private record Case(String name, Consumer<SimulatedCluster> upgrade) {}
 
-  private static void replace(SimulatedCluster w, int... nodes) {
+  private static void replace(SimulatedCluster cluster, int... nodes) {
     for (int node : nodes) {
-      w.kill(node);
+      cluster.kill(node);
     }
-    w.run(2 * SECOND);
+    cluster.run(2 * SECOND);
     for (int node : nodes) {
-      w.impersonateFirstVersion(node, false);
-      w.start(node);
+      cluster.impersonateFirstVersion(node, false);
+      cluster.start(node);
     }
-    w.run(6 * SECOND);
+    cluster.run(6 * SECOND);
   }
 
   private static final List<Case> CASES =
       List.of(
           new Case(
               "one after the other, limits lowered much later",
-              w -> {
-                replace(w, 0);
-                replace(w, 1);
-                replace(w, 2);
-                w.run(20 * SECOND);
-                w.lowerLimits();
+              cluster -> {
+                replace(cluster, 0);
+                replace(cluster, 1);
+                replace(cluster, 2);
+                cluster.run(20 * SECOND);
+                cluster.lowerLimits();
               }),
           new Case(
               "backwards, limits lowered as the last is back",
-              w -> {
-                replace(w, 2);
-                replace(w, 1);
-                replace(w, 0);
-                w.lowerLimits();
+              cluster -> {
+                replace(cluster, 2);
+                replace(cluster, 1);
+                replace(cluster, 0);
+                cluster.lowerLimits();
               }),
           new Case(
               "all at once, limits lowered while records move",
-              w -> {
-                replace(w, 0, 1, 2);
-                for (int i = 0; w.state().get("g/format") == null && i < 300; i++) {
-                  w.run(SECOND / 10);
+              cluster -> {
+                replace(cluster, 0, 1, 2);
+                for (int i = 0; cluster.state().get("g/format") == null && i < 300; i++) {
+                  cluster.run(SECOND / 10);
                 }
-                w.run(SECOND / 10);
-                w.lowerLimits();
+                cluster.run(SECOND / 10);
+                cluster.lowerLimits();
               }),
           new Case(
               "limits lowered before the last is replaced",
-              w -> {
-                replace(w, 0, 1);
-                w.lowerLimits();
-                w.run(10 * SECOND);
-                replace(w, 2);
+              cluster -> {
+                replace(cluster, 0, 1);
+                cluster.lowerLimits();
+                cluster.run(10 * SECOND);
+                replace(cluster, 2);
               }),
           new Case(
               "a death before its turn, coming back old",
-              w -> {
-                replace(w, 0);
-                w.kill(1);
-                w.run(2 * SECOND);
-                w.start(1);
-                w.run(6 * SECOND);
-                replace(w, 2);
-                replace(w, 1);
-                w.run(3 * SECOND);
-                w.lowerLimits();
+              cluster -> {
+                replace(cluster, 0);
+                cluster.kill(1);
+                cluster.run(2 * SECOND);
+                cluster.start(1);
+                cluster.run(6 * SECOND);
+                replace(cluster, 2);
+                replace(cluster, 1);
+                cluster.run(3 * SECOND);
+                cluster.lowerLimits();
               }),
           new Case(
               "all end midway",
-              w -> {
-                replace(w, 0);
-                w.kill(0);
-                w.kill(1);
-                w.kill(2);
-                w.run(12 * SECOND);
-                w.start(0);
-                w.start(1);
-                w.start(2);
-                w.run(6 * SECOND);
-                replace(w, 1);
-                replace(w, 2);
-                w.run(SECOND);
-                w.lowerLimits();
+              cluster -> {
+                replace(cluster, 0);
+                cluster.kill(0);
+                cluster.kill(1);
+                cluster.kill(2);
+                cluster.run(12 * SECOND);
+                cluster.start(0);
+                cluster.start(1);
+                cluster.start(2);
+                cluster.run(6 * SECOND);
+                replace(cluster, 1);
+                replace(cluster, 2);
+                cluster.run(SECOND);
+                cluster.lowerLimits();
               }),
           new Case(
               "an outage midway, and late transactions",
-              w -> {
-                w.faults().lateCommitShare(0.2);
-                replace(w, 0, 1);
-                w.faults().stateOutage(true);
-                w.run(15 * SECOND);
-                w.faults().stateOutage(false);
-                replace(w, 2);
-                w.run(10 * SECOND);
-                w.faults().lateCommitShare(0);
-                w.lowerLimits();
+              cluster -> {
+                cluster.faults().lateCommitShare(0.2);
+                replace(cluster, 0, 1);
+                cluster.faults().stateOutage(true);
+                cluster.run(15 * SECOND);
+                cluster.faults().stateOutage(false);
+                replace(cluster, 2);
+                cluster.run(10 * SECOND);
+                cluster.faults().lateCommitShare(0);
+                cluster.lowerLimits();
               }),
           new Case(
               "a controller ends while records move",
-              w -> {
-                replace(w, 0, 1, 2);
-                for (int i = 0; w.state().get("g/format") == null && i < 300; i++) {
-                  w.run(SECOND / 10);
+              cluster -> {
+                replace(cluster, 0, 1, 2);
+                for (int i = 0; cluster.state().get("g/format") == null && i < 300; i++) {
+                  cluster.run(SECOND / 10);
                 }
-                w.kill(2);
-                w.run(3 * SECOND);
-                w.lowerLimits();
-                w.run(10 * SECOND);
-                w.start(2);
+                cluster.kill(2);
+                cluster.run(3 * SECOND);
+                cluster.lowerLimits();
+                cluster.run(10 * SECOND);
+                cluster.start(2);
               }));
 
   @TestFactory
@@ -151,69 +151,70 @@
   }
 
   private static SimulatedCluster oldCluster(long seed) {
-    SimulatedCluster w = new SimulatedCluster(NODES, seed, SCALE);
+    SimulatedCluster cluster = new SimulatedCluster(NODES, seed, SCALE);
     for (int i = 0; i < NODES; i++) {
-      w.impersonateFirstVersion(i, true);
+      cluster.impersonateFirstVersion(i, true);
     }
-    w.startPolling();
-    w.run(4 * SECOND);
-    w.taskDuration(60 * SECOND);
+    cluster.startPolling();
+    cluster.run(4 * SECOND);
+    cluster.taskDuration(60 * SECOND);
     for (int i = 0; i < SERVICES; i++) {
-      w.submit(i % NODES, job("req-web-" + i, "service", REPLICAS));
+      cluster.submit(i % NODES, job("req-web-" + i, "service", REPLICAS));
     }
     for (int i = 0; i < 50; i++) {
-      w.submit(i % NODES, job("req-old-" + i, "array", 12));
+      cluster.submit(i % NODES, job("req-old-" + i, "array", 12));
     }
-    w.run(30 * SECOND);
+    cluster.run(30 * SECOND);
     // Parts that will have to be split, or the rows would show little.
     assertTrue(
-        w.state().keys("g/sl/").stream()
-            .anyMatch(key -> Json.bytes(w.state().get(key)).length > NEXT_VALUE_BYTES));
-    return w;
+        cluster.state().keys("g/sl/").stream()
+            .anyMatch(key -> Json.bytes(cluster.state().get(key)).length > NEXT_VALUE_BYTES));
+    return cluster;
   }
 
   private static void play(Case c) {
-    SimulatedCluster w = oldCluster(41);
-    assertNull(w.state().get("g/format"));
-    c.upgrade().accept(w);
-    w.run(10 * SECOND);
-    w.taskDuration(6 * SECOND);
-    w.submit(0, job("req-first", "array", 60));
-    w.submit(1, job("req-web-new", "service", 5));
-    w.run(2 * SECOND);
-    w.submit(2, jobAfter("req-second", 30, "req-first", "req-old-1"));
-    w.expectRecovery();
-    w.run(120 * SECOND);
-    assertEquals(List.of(), w.violations());
-    assertTrue(w.state().get("g/format") != null, "no mark");
-    for (String id : w.jobs()) {
-      assertEquals(id.startsWith("req-web") ? "running" : "done", w.phase(id), id);
+    SimulatedCluster cluster = oldCluster(41);
+    assertNull(cluster.state().get("g/format"));
+    c.upgrade().accept(cluster);
+    cluster.run(10 * SECOND);
+    cluster.taskDuration(6 * SECOND);
+    cluster.submit(0, job("req-first", "array", 60));
+    cluster.submit(1, job("req-web-new", "service", 5));
+    cluster.run(2 * SECOND);
+    cluster.submit(2, jobAfter("req-second", 30, "req-first", "req-old-1"));
+    cluster.expectRecovery();
+    cluster.run(120 * SECOND);
+    assertEquals(List.of(), cluster.violations());
+    assertTrue(cluster.state().get("g/format") != null, "no mark");
+    for (String id : cluster.jobs()) {
+      assertEquals(id.startsWith("req-web") ? "running" : "done", cluster.phase(id), id);
     }
-    assertEquals(SERVICES * REPLICAS + 5, w.tasksOnMachines());
-    for (String key : w.state().keys("g/")) {
-      int bytes = Json.bytes(w.state().get(key)).length;
+    assertEquals(SERVICES * REPLICAS + 5, cluster.tasksOnMachines());
+    for (String key : cluster.state().keys("g/")) {
+      int bytes = Json.bytes(cluster.state().get(key)).length;
       assertTrue(bytes <= NEXT_VALUE_BYTES, key + " has " + bytes);
       assertTrue(!key.matches("g/sl/[0-9]+/[aw][0-9]"), key + " is left");
     }
     assertTrue(
-        w.state().rejectedForSize() <= MAX_REFUSED, w.state().rejectedForSize() + " refused");
+        cluster.state().rejectedForSize() <= MAX_REFUSED,
+        cluster.state().rejectedForSize() + " refused");
   }
 
   @Test
   void noMarkWhileOneIsAwayOrOld() {
-    SimulatedCluster w = oldCluster(42);
-    replace(w, 0);
-    replace(w, 1);
-    w.kill(2);
-    w.run(40 * SECOND);
-    assertNull(w.state().get("g/format"));
-    w.start(2);
-    w.run(20 * SECOND);
-    assertNull(w.state().get("g/format"));
-    replace(w, 2);
-    w.run(5 * SECOND);
-    Map<String, Object> mark = w.state().get("g/format");
+    SimulatedCluster cluster = oldCluster(42);
+    replace(cluster, 0);
+    replace(cluster, 1);
+    cluster.kill(2);
+    cluster.run(40 * SECOND);
+    assertNull(cluster.state().get("g/format"));
+    cluster.start(2);
+    cluster.run(20 * SECOND);
+    assertNull(cluster.state().get("g/format"));
+    replace(cluster, 2);
+    cluster.run(5 * SECOND);
+    Map<String, Object> mark = cluster.state().get("g/format");
     assertEquals(4L, Json.num(mark, "split", 0));
-    assertEquals(List.of(), w.violations());
+    assertEquals(List.of(), cluster.violations());
   }
 }
--- a/src/test/java/gladeknot/standin/JobStatusChecker.java
+++ b/src/test/java/gladeknot/standin/JobStatusChecker.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Checks what users are told about their jobs, and keeps it. */
+/** Checks the answers that users get about their jobs, and keeps the last phase. */
 final class JobStatusChecker {
   private final SimulatedClock clock;
   private final ObservedJobs jobs;
@@ -59,7 +59,7 @@
     }
     if (phase.equals("withdrawn")) {
       job.cancellationConfirmed(clock.now());
-      jobs.pipelines().cancelTold(id, clock.now());
+      jobs.pipelines().cancelConfirmed(id, clock.now());
       if (!jobs.pipelines().mayBeWithdrawn(id)) {
         violations.add("went_back: nobody cancelled " + id);
       }
--- a/src/test/java/gladeknot/standin/PipelineRules.java
+++ b/src/test/java/gladeknot/standin/PipelineRules.java
@@ -8,23 +8,26 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** What must hold for jobs that wait for others, by what their users asked for and were told. */
+/**
+ * What must hold for jobs that wait for others, by what their users requested and what was
+ * answered.
+ */
 final class PipelineRules {
   private final Map<String, List<String>> needs = new HashMap<>();
-  private final Set<String> cancelAsked = new HashSet<>();
-  private final Map<String, Long> cancelTold = new HashMap<>();
+  private final Set<String> cancelRequested = new HashSet<>();
+  private final Map<String, Long> cancelConfirmed = new HashMap<>();
 
   void submitted(String id, List<String> waitsOn) {
     needs.put(id, waitsOn);
   }
 
-  void cancelAsked(String id) {
-    cancelAsked.add(id);
+  void cancelRequested(String id) {
+    cancelRequested.add(id);
   }
 
-  /** A user was told for the first time that a job is withdrawn. */
-  void cancelTold(String id, long now) {
-    cancelTold.putIfAbsent(id, now);
+  /** A controller answered a user that a job is cancelled; the first time counts. */
+  void cancelConfirmed(String id, long now) {
+    cancelConfirmed.putIfAbsent(id, now);
   }
 
   /** Whether a job has to wait for another that is not done. */
@@ -34,14 +37,14 @@
 
   /** Whether a user's cancellation can have withdrawn a job: its own, or of a job before it. */
   boolean mayBeWithdrawn(String id) {
-    return withAllBefore(id).stream().anyMatch(cancelAsked::contains);
+    return withAllBefore(id).stream().anyMatch(cancelRequested::contains);
   }
 
   /** Whether a job before this one was confirmed as withdrawn longer ago than given. */
   boolean orphaned(String id, long now, long longest) {
     return withAllBefore(id).stream()
         .filter(before -> !before.equals(id))
-        .anyMatch(before -> now - cancelTold.getOrDefault(before, now) > longest);
+        .anyMatch(before -> now - cancelConfirmed.getOrDefault(before, now) > longest);
   }
 
   private Set<String> withAllBefore(String id) {
--- a/src/test/java/gladeknot/standin/SimulatedUsers.java
+++ b/src/test/java/gladeknot/standin/SimulatedUsers.java
@@ -83,7 +83,7 @@
   /** Cancels a job, over and over until that is answered. */
   void cancel(int node, String id) {
     ObservedJob job = jobs.get(id);
-    jobs.pipelines().cancelAsked(id);
+    jobs.pipelines().cancelRequested(id);
     controllers.request(
         node,
         "POST",
