--- a/src/main/java/gladeknot/workers/Worker.java
+++ b/src/main/java/gladeknot/workers/Worker.java
@@ -23,7 +23,7 @@
   private WorkerSession session = new WorkerSession();
   private final WorkerReachability reachability = new WorkerReachability();
   private final ImageCache imageCache = new ImageCache();
-  private final WorkerHealth health = new WorkerHealth();
+  private final WorkerFailures failures = new WorkerFailures();
 
   /** Attempts by task name, for all shards as far as the cached state tells. */
   private final Map<String, Attempt> attempts = new LinkedHashMap<>();
@@ -235,31 +235,31 @@
     return imageCache.images();
   }
 
-  // Health.
+  // Failures.
 
   /** Tasks that failed on it in a row; failures of more than one job count twice. */
   public int consecutiveFailures() {
-    return health.consecutiveFailures();
+    return failures.consecutiveFailures();
   }
 
   /** A task has completed on it. */
   public void resetFailures() {
-    health.resetFailures();
+    failures.resetFailures();
   }
 
   /** Counts a task that failed on it; returns {@link #consecutiveFailures}. */
   public int countFailure(String job) {
-    return health.countFailure(job);
+    return failures.countFailure(job);
   }
 
   /** No task is started on it before this time. */
   public long quarantinedUntilMicros() {
-    return health.quarantinedUntilMicros();
+    return failures.quarantinedUntilMicros();
   }
 
   /** Lets no task start on it before a time. */
   public void quarantineUntil(long micros) {
-    health.quarantineUntil(micros);
+    failures.quarantineUntil(micros);
   }
 
   // Scale-in.
--- a/src/main/java/gladeknot/workers/WorkerHealth.java
+++ b/src/main/java/gladeknot/workers/WorkerFailures.java
@@ -1,7 +1,7 @@
 package gladeknot.workers;
 
 /** Failures of tasks on a machine, and until when it is quarantined for them. */
-final class WorkerHealth {
+final class WorkerFailures {
   private int consecutiveFailures;
   private String lastFailedJob = "";
   private long quarantinedUntilMicros;
