--- a/src/main/java/gladeknot/app/ControllerComponents.java
+++ b/src/main/java/gladeknot/app/ControllerComponents.java
@@ -36,6 +36,7 @@
 final class ControllerComponents {
   final Outbox outbox = new Outbox();
   final WorkerRegistry workers = new WorkerRegistry();
+  final InstanceCatalog catalog = new InstanceCatalog();
 
   /** Present with the feature {@code partial-cuts}. */
   final Optional<ConnectivityMonitor> connectivity;
@@ -47,7 +48,6 @@
   final TransactionCommitter committer;
   final TaskLifecycle lifecycle;
   final QuotaAllocator quota;
-  final InstanceCatalog catalog = new InstanceCatalog();
   final Scheduler scheduler;
   final Fleet fleet;
   final HomeShardSelector homeShards;
