--- a/src/main/java/gladeknot/lifecycle/JobCompletion.java
+++ b/src/main/java/gladeknot/lifecycle/JobCompletion.java
@@ -48,7 +48,7 @@
   void check(long wallMicros) {
     for (Job job : List.copyOf(jobs.active())) {
       if (mayFinish(job) && committedDone(job).cardinality() >= job.tasks()) {
-        finish(job, JobRecordCodec.encodeDone(job.tasks(), wallMicros), "job done id={}");
+        finish(job, JobRecordCodec.encodeDone(job.tasks(), wallMicros), "job done job={}");
       }
     }
     for (Job job : jobs.cancelledByDependency()) {
@@ -56,7 +56,7 @@
         finish(
             job,
             JobRecordCodec.encodeCancelled(job.tasks()),
-            "job cancelled id={} reason=dependency_cancelled");
+            "job cancelled job={} reason=dependency_cancelled");
       }
     }
   }
