--- a/src/main/java/gladeknot/app/ControllerComponents.java
+++ b/src/main/java/gladeknot/app/ControllerComponents.java
@@ -143,7 +143,7 @@
         workers,
         outbox,
         connectivity.<HeartbeatObserver>map(c -> c).orElse(HeartbeatObserver.NONE),
-        new HeartbeatReconciler(this));
+        new ReconcilerAdapter(this));
   }
 
   private void onCommit() {
--- a/src/main/java/gladeknot/app/HeartbeatReconciler.java
+++ b/src/main/java/gladeknot/app/ReconcilerAdapter.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 /** Connects the heartbeat handler to the task lifecycle, the scheduler and the fleet. */
-final class HeartbeatReconciler implements HeartbeatHandler.Reconciler {
+final class ReconcilerAdapter implements HeartbeatHandler.Reconciler {
   private final ControllerComponents components;
 
-  HeartbeatReconciler(ControllerComponents components) {
+  ReconcilerAdapter(ControllerComponents components) {
     this.components = components;
   }
 
--- a/src/main/java/gladeknot/fleet/CapacityPlanner.java
+++ b/src/main/java/gladeknot/fleet/CapacityPlanner.java
@@ -89,10 +89,7 @@
     Capacity capacity = new Capacity();
     for (Worker worker : workers.all()) {
       MachineType type = catalog.type(worker.type());
-      if (type != null
-          && worker.registered()
-          && !worker.terminating()
-          && worker.reclaimAtMicros() == 0) {
+      if (type != null && worker.isExpectedToStay()) {
         capacity.add(
             MachineBin.ofWorker(
                 worker.host(), type, worker.zone(), worker.spot(), scheduler.replicas(worker)));
--- a/src/main/java/gladeknot/fleet/ForecastBuilder.java
+++ b/src/main/java/gladeknot/fleet/ForecastBuilder.java
@@ -47,10 +47,7 @@
     Forecast forecast = new Forecast();
     for (Worker worker : workers.all()) {
       MachineType type = catalog.type(worker.type());
-      if (type != null
-          && worker.registered()
-          && !worker.terminating()
-          && worker.reclaimAtMicros() == 0) {
+      if (type != null && worker.isExpectedToStay()) {
         long fromMicros = availableFromMicros(worker, type);
         if (fromMicros != Forecast.NEVER) {
           add(forecast, worker, type, fromMicros);
--- a/src/main/java/gladeknot/workers/Worker.java
+++ b/src/main/java/gladeknot/workers/Worker.java
@@ -80,6 +80,11 @@
             isTerminating));
   }
 
+  /** Whether it is registered, and neither released nor reclaimed by the cloud soon. */
+  public boolean isExpectedToStay() {
+    return registered() && !terminating() && reclaimAtMicros() == 0;
+  }
+
   /** Whether the state store has it. */
   public boolean registered() {
     return registered;
