--- a/src/test/java/gladeknot/fleet/CloudCodecTest.java
+++ b/src/test/java/gladeknot/fleet/CloudCodecTest.java
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void listedInstances() {
+  void listedInstancesAreRead() {
     CloudCodec.InstancePage page =
         CloudCodec.instancePage(
             reply(
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void machineTypesInThousandths() {
+  void machineTypesAreReadInThousandths() {
     String listed =
         "{\"hosttypes\":[{\"label\":\"small\",\"cores\":4.0,\"accelerators\":0.5,"
             + "\"memoryGb\":16,\"cacheGb\":40,\"fetchGbPerS\":0.5,\"rate\":0.2,"
--- a/src/test/java/gladeknot/golden/GoldenAttemptsTest.java
+++ b/src/test/java/gladeknot/golden/GoldenAttemptsTest.java
@@ -60,14 +60,14 @@
 
   @ParameterizedTest
   @MethodSource("cases")
-  void writtenInBothForms(Case testCase) {
+  void attemptsAreWrittenInBothForms(Case testCase) {
     FILE.check(testCase.name() + PLAIN, RecordedAttempts.plain(testCase.attempts()));
     FILE.check(testCase.name() + COMPACT, RecordedAttempts.compact(testCase.attempts()));
   }
 
   @ParameterizedTest
   @MethodSource("cases")
-  void readInBothForms(Case testCase) {
+  void attemptsAreReadInBothForms(Case testCase) {
     for (String form : List.of(PLAIN, COMPACT)) {
       String text = FILE.read().get(testCase.name() + form);
       assertEquals(testCase.attempts(), RecordedAttempts.read(JOB, text), form);
--- a/src/test/java/gladeknot/golden/GoldenLifeTest.java
+++ b/src/test/java/gladeknot/golden/GoldenLifeTest.java
@@ -45,7 +45,7 @@
 
   @ParameterizedTest
   @EnumSource
-  void allThatIsStoredAndSent(Layout layout) {
+  void everythingStoredAndSentIsAsRecorded(Layout layout) {
     cluster = new GoldenCluster(1, layout.scale).start(NODE);
     cluster.run(3 * SECOND);
     keep("1 started");
--- a/src/test/java/gladeknot/golden/GoldenMembersTest.java
+++ b/src/test/java/gladeknot/golden/GoldenMembersTest.java
@@ -28,7 +28,7 @@
 
   /** All members start, mark the format, and one of them ends. */
   @Test
-  void startAndTakeover() {
+  void startAndTakeoverStoreAndSendTheSameRecords() {
     GoldenCluster cluster = cluster(Features.NONE);
     results.put("stored once all are up", cluster.stored(""));
     cluster.stop(2);
@@ -40,7 +40,7 @@
 
   /** Shards lack budget for a gang, and a job is cancelled. */
   @Test
-  void recordsBetweenControllers() {
+  void messagesBetweenControllersKeepTheirBytes() {
     GoldenCluster cluster = cluster(Features.NONE);
     cluster.asked(0, "POST", "/work", TestJobs.job("req-gang", "ensemble", 20));
     cluster.run(5 * SECOND);
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void recordsAndStatusWithPartialCuts() {
+  void partialCutsKeepRecordsAndStatus() {
     GoldenCluster cluster = cluster(FeatureSettings.partialCuts());
     new GoldenFile("members/partial-cuts-records.txt").checkAll(records(cluster.messages));
     results.put("status", CanonicalJson.of(cluster.core(0).status()).replace("},{", "},\n{"));
--- a/src/test/java/gladeknot/golden/GoldenOperatorsTest.java
+++ b/src/test/java/gladeknot/golden/GoldenOperatorsTest.java
@@ -48,7 +48,8 @@
 
   @ParameterizedTest
   @MethodSource("commands")
-  void check(List<String> command) throws IOException, InterruptedException {
+  void checkCommandsPrintTheSameLines(List<String> command)
+      throws IOException, InterruptedException {
     CHECKS.check(String.join(" ", command), run(command));
   }
 
@@ -60,7 +61,7 @@
   private record Served(int status, String body) {}
 
   @Test
-  void status() throws IOException, InterruptedException {
+  void statusPrintsTheSameLines() throws IOException, InterruptedException {
     String shown = new String(GoldenFile.bytes("operators/status.json"), StandardCharsets.UTF_8);
     Map<String, String> results = new LinkedHashMap<>();
     results.put("status", statusOf(new Served(200, shown)));
--- a/src/test/java/gladeknot/golden/GoldenPeersTest.java
+++ b/src/test/java/gladeknot/golden/GoldenPeersTest.java
@@ -76,7 +76,7 @@
 
   @ParameterizedTest
   @MethodSource("cases")
-  void written(Case testCase) throws IOException {
+  void messagesAreWrittenAsStored(Case testCase) throws IOException {
     String actual = lines(testCase.message().encode());
     if (GoldenFile.recording()) {
       Files.createDirectories(DIRECTORY);
@@ -87,7 +87,7 @@
 
   @ParameterizedTest
   @MethodSource("cases")
-  void readAndWrittenAgain(Case testCase) throws IOException {
+  void storedMessagesSurviveARoundTrip(Case testCase) throws IOException {
     byte[] record = stored(testCase.file());
     PeerMessage read = PeerMessage.decode(record);
     assertEquals(testCase.message(), read);
--- a/src/test/java/gladeknot/golden/GoldenUsersTest.java
+++ b/src/test/java/gladeknot/golden/GoldenUsersTest.java
@@ -39,7 +39,7 @@
   /** Jobs that the submissions name under {@code waitsOn} are there. */
   @ParameterizedTest
   @MethodSource("submissions")
-  void submission(SubmissionCase submission) {
+  void submissionsAreAnsweredAsRecorded(SubmissionCase submission) {
     GoldenCluster cluster = cluster();
     cluster.asked(0, "POST", "/work", TestJobs.job("req-open", "array", 1));
     cluster.asked(0, "POST", "/work", TestJobs.job("req-service", "service", 1));
@@ -76,7 +76,7 @@
           new Request("GET", "/elsewhere"));
 
   @Test
-  void paths() {
+  void pathsAreAnsweredAsRecorded() {
     Map<String, String> answers = new LinkedHashMap<>();
     GoldenCluster cluster = cluster();
     for (Request request : REQUESTS) {
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void malformedBodies() {
+  void malformedBodiesAreRefused() {
     Map<String, String> answers = new LinkedHashMap<>();
     GoldenCluster cluster = cluster();
     for (String path : List.of("/work", "/hello")) {
@@ -101,7 +101,7 @@
 
   /** Before the state is read, only final phases are answered. */
   @Test
-  void notReady() {
+  void requestsBeforeTheStateIsReadGetFinalPhasesOnly() {
     Map<String, String> answers = new LinkedHashMap<>();
     GoldenCluster cluster = new GoldenCluster(1, GoldenCluster.FIRST_LAYOUT).start(0);
     answers.put("GET /healthz", cluster.asked(0, "GET", "/healthz", null));
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void lifeOfAJob() {
+  void everyPhaseOfAJobIsAnsweredAsRecorded() {
     Map<String, String> answers = new LinkedHashMap<>();
     GoldenCluster cluster = cluster();
     Map<String, Object> job = TestJobs.job("req-1", "array", 2);
--- a/src/test/java/gladeknot/golden/GoldenWorkersTest.java
+++ b/src/test/java/gladeknot/golden/GoldenWorkersTest.java
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void malformedHeartbeats() {
+  void malformedHeartbeatsAreRefused() {
     for (Malformed malformed : malformed()) {
       GoldenCluster cluster = cluster(0);
       results.put(malformed.name(), cluster.asked(0, "POST", "/hello", malformed.heartbeat()));
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void refusedAndSentElsewhere() {
+  void heartbeatsAreRefusedOrRedirected() {
     GoldenCluster fresh = new GoldenCluster(MEMBERS, GoldenCluster.FIRST_LAYOUT).start(0);
     put("before the state is read", fresh, 0, Heartbeats.of(HOST, 1, 0));
     GoldenCluster cluster = cluster(0, 1);
@@ -124,7 +124,7 @@
 
   /** Preempted tasks with checkpoints get time to save when a higher priority needs resources. */
   @Test
-  void preemption() {
+  void preemptedTasksGetTimeToSave() {
     GoldenCluster cluster = cluster(0);
     Map<String, Object> low = TestJobs.job("req-low", "array", 1);
     low.putAll(Map.of("rank", "idle", "cores", 4.0, "snapshotS", 30.0, "flushS", 4.0));
@@ -146,7 +146,7 @@
 
   /** Whatever ended a task, its end is stored before the worker is commanded to purge it. */
   @Test
-  void endsByCause() {
+  void everyEndIsStoredBeforeItsPurge() {
     for (String cause : CAUSES) {
       sequence = 0;
       GoldenCluster cluster = cluster(0);
@@ -162,7 +162,7 @@
 
   /** A task in any of these states stays as it is. */
   @Test
-  void phases() {
+  void tasksInAnyPhaseAreKept() {
     GoldenCluster cluster = cluster(0);
     cluster.asked(0, "POST", "/work", TestJobs.job("req-a", "array", 1));
     Map<String, Object> start = awaitOrder(cluster, "run");
--- a/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
@@ -24,7 +24,8 @@
   /** Two machines of 16 CPUs and 2 GPUs, three of 4 CPUs. */
   @ParameterizedTest
   @CsvSource({"6.0, 1.0, 4", "6.0, 2.0, 2", "2.0, 0.0, 6", "4.0, 0.0, 3"})
-  void taskSlots(double cpus, double gpus, int slots) throws MalformedJobException {
+  void slotsAreCountedByRequiredResources(double cpus, double gpus, int slots)
+      throws MalformedJobException {
     WorkerRegistry workers = new WorkerRegistry();
     enter(workers, 1, "accelerated");
     enter(workers, 2, "accelerated");
--- a/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
@@ -83,7 +83,7 @@
               List.of("req-last", "req-new", "req-over")));
 
   @TestFactory
-  Stream<DynamicTest> order() {
+  Stream<DynamicTest> jobsAreOrderedByUrgency() {
     Settings usual = ClusterSettings.of(0, 1, ClusterScale.SMALL);
     Settings more = with(usual, ObjectiveKind.WAIT, 180, ObjectiveKind.FINISHED, 300);
     return Stream.concat(
