--- a/src/test/java/gladeknot/connectivity/PartialCutsTest.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsTest.java
@@ -35,6 +35,12 @@
   private static final List<Case> CASES = cases();
 
   private static List<Case> cases() {
+    List<Case> cases = new ArrayList<>(singleLinkCases());
+    cases.addAll(combinedCases());
+    return cases;
+  }
+
+  private static List<Case> singleLinkCases() {
     List<Case> cases = new ArrayList<>();
     for (Direction direction : Direction.values()) {
       cases.add(
@@ -64,6 +70,11 @@
             "reports flap every 2 s",
             130,
             cluster -> flap(cluster, Direction.REPORTS, 2 * SECOND)));
+    return cases;
+  }
+
+  private static List<Case> combinedCases() {
+    List<Case> cases = new ArrayList<>();
     cases.add(new Case("two cut from different things", 131, PartialCutsTest::twoCut));
     cases.add(new Case("the taker is cut while it takes", 132, PartialCutsTest::takerCut));
     cases.add(new Case("the owner is back in mid-take-over", 133, PartialCutsTest::ownerBack));
--- a/src/test/java/gladeknot/golden/GoldenCluster.java
+++ b/src/test/java/gladeknot/golden/GoldenCluster.java
@@ -24,7 +24,7 @@
 
 /**
  * Whole controllers on a state service and a cloud that answer after fixed times, with all that
- * they send kept. The time of day stands still unless a test moves it.
+ * they send kept. The wall clock is fixed unless a test moves it.
  */
 final class GoldenCluster {
   static final long SECOND = SimulatedCluster.SECOND;
--- a/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
@@ -39,18 +39,18 @@
   private static final List<Case> CASES =
       List.of(
           new Case(
-              "due first goes first while all can be in time",
+              "the earliest deadline comes first while all can be met",
               List.of(new Wanted("req-b", 1, 0, 60), new Wanted("req-a", 1, 0, 30)),
               List.of("req-a", "req-b")),
           new Case(
-              "the largest is put off when not all can be",
+              "the largest is deferred when not all deadlines can be met",
               List.of(
                   new Wanted("req-big", 20, 0, 40),
                   new Wanted("req-c", 4, 0, 50),
                   new Wanted("req-d", 4, 0, 75)),
               List.of("req-c", "req-d", "req-big")),
           new Case(
-              "what is late already goes last, the oldest first",
+              "missed deadlines come last, the oldest first",
               List.of(
                   new Wanted("req-new", 2, 0, 60),
                   new Wanted("req-late", 2, 100, 20),
@@ -68,14 +68,14 @@
   private static final List<Case> WITH_OTHER_AIMS =
       List.of(
           new Case(
-              "put off for its deadline, it goes first when its time to begin runs out",
+              "a deferred job comes first when its wait objective is at risk",
               List.of(
                   new Wanted("req-new", 1, 0, 60),
                   new Wanted("req-waits", 2, 90, 40),
                   new Wanted("req-largest", 3, 120, 40)),
               List.of("req-new", "req-largest", "req-waits")),
           new Case(
-              "once that is over, it goes first when its time to end runs out",
+              "after its wait objective it comes first when its finish objective is at risk",
               List.of(
                   new Wanted("req-new", 1, 0, 60),
                   new Wanted("req-last", 5, 270, 40),
--- a/src/test/java/gladeknot/standin/SimulatedMachine.java
+++ b/src/test/java/gladeknot/standin/SimulatedMachine.java
@@ -62,7 +62,7 @@
     startsChecked = 0;
   }
 
-  /** The machine stands still; commands that come meanwhile are carried out afterwards. */
+  /** Freezes the machine; commands that arrive meanwhile are executed when it resumes. */
   void freeze() {
     frozen = true;
   }
