--- a/src/test/java/gladeknot/app/MachineFaultsTest.java
+++ b/src/test/java/gladeknot/app/MachineFaultsTest.java
@@ -18,7 +18,7 @@
   private static final List<Case> CASES =
       List.of(
           new Case(
-              "a command or its answer is held up, and the machine goes on",
+              "a command or its answer is delayed while the machine keeps working",
               1,
               cluster -> {
                 cluster.faults().delayCommands(3 * SECOND);
@@ -48,7 +48,7 @@
                 cluster.run(10 * SECOND);
               }),
           new Case(
-              "an owner ends while machines can't be reached or don't hear the new one",
+              "an owner ends while machines are unreachable or get no answers of the new one",
               3,
               cluster -> {
                 cluster.machineFaults().dropResponses(0, true);
@@ -64,7 +64,7 @@
                 cluster.run(10 * SECOND);
               }),
           new Case(
-              "a team at its limit, a change of owner, silent machines and a cancellation",
+              "a team at its limit, a change of owner, lost heartbeats and a cancellation",
               6,
               cluster -> {
                 cluster.taskDuration(15 * SECOND);
@@ -87,7 +87,7 @@
                 cluster.taskDuration(4 * SECOND);
               }),
           new Case(
-              "more work than room, urgent and not, over slow links",
+              "more work than capacity, urgent and not, over slow links",
               8,
               cluster -> {
                 cluster.faults().delayCommands(SECOND);
--- a/src/test/java/gladeknot/app/OwnershipFaultsTest.java
+++ b/src/test/java/gladeknot/app/OwnershipFaultsTest.java
@@ -75,7 +75,7 @@
                 cluster.start(0, 1, 2);
               }),
           new Case(
-              "a former life's announcement comes late, and its lease ends before ours",
+              "an earlier incarnation's announcement is committed late, and its lease expires first",
               23,
               cluster -> {
                 // Unconditional, it took the liveness key along; the shard was taken while its
--- a/src/test/java/gladeknot/app/SimulatedClusterTest.java
+++ b/src/test/java/gladeknot/app/SimulatedClusterTest.java
@@ -95,7 +95,7 @@
                 }
               }),
           new Case(
-              "an owner sleeps past its lease and goes on",
+              "an owner is suspended past its lease and resumes",
               7,
               cluster -> {
                 cluster.pause(2, true);
@@ -175,7 +175,7 @@
                 cluster.run(60 * SECOND);
               }),
           new Case(
-              "no machine hears anything any more: all are replaced",
+              "no machine receives anything any more: all are replaced",
               23,
               cluster -> {
                 // With one controller left each machine comes back to it before a lease is over.
@@ -193,7 +193,7 @@
                 cluster.start(2);
               }),
           new Case(
-              "a machine hears nothing for a while, and its controller is restarted meanwhile",
+              "a machine receives nothing for a while, and its controller is restarted meanwhile",
               16,
               cluster -> {
                 cluster.machineFaults().dropResponses(1, true);
--- a/src/test/java/gladeknot/connectivity/PartialCutsTest.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsTest.java
@@ -57,7 +57,7 @@
     cases.add(new Case("state slow to beyond a lease", 113, PartialCutsTest::slowState));
     cases.add(new Case("workers lost, state reached", 114, PartialCutsTest::workersLost));
     cases.add(new Case("peers lost alone", 115, PartialCutsTest::peersLost));
-    cases.add(new Case("one peer does not hear another", 116, PartialCutsTest::peersOneWay));
+    cases.add(new Case("one peer receives nothing of another", 116, PartialCutsTest::peersOneWay));
     for (long periodMillis : new long[] {300, 1000, 4000, 8000, 10000}) {
       cases.add(
           new Case(
