--- a/src/main/java/gladeknot/app/CopiedShards.java
+++ b/src/main/java/gladeknot/app/CachedShardView.java
@@ -7,20 +7,20 @@
 import java.util.Collection;
 
 /** Shards and their workers as membership and the copy of the state show them. */
-final class CopiedShards implements ShardView {
+final class CachedShardView implements ShardView {
   private final Settings settings;
   private final Membership membership;
   private final WorkerRegistry workers;
 
-  CopiedShards(Settings settings, Membership membership, WorkerRegistry workers) {
+  CachedShardView(Settings settings, Membership membership, WorkerRegistry workers) {
     this.settings = settings;
     this.membership = membership;
     this.workers = workers;
   }
 
   @Override
-  public int shards() {
-    return membership.shards();
+  public int shardCount() {
+    return membership.shardCount();
   }
 
   @Override
@@ -44,13 +44,13 @@
   }
 
   @Override
-  public long mostTerm(int shard) {
-    return membership.mostTerm(shard);
+  public long highestTerm(int shard) {
+    return membership.highestTerm(shard);
   }
 
   @Override
-  public boolean ours(int shard) {
-    return membership.owned().contains(shard);
+  public boolean isOwned(int shard) {
+    return membership.ownedShards().contains(shard);
   }
 
   @Override
@@ -60,7 +60,7 @@
 
   @Override
   public Collection<WorkerAddress> workers(int shard) {
-    return workers.of(shard).stream()
+    return workers.inShard(shard).stream()
         .map(w -> new WorkerAddress(w.host(), w.zone(), w.endpoint()))
         .toList();
   }
--- a/src/main/java/gladeknot/app/Core.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -1,37 +1,37 @@
 package gladeknot.app;
 
 import com.google.common.collect.Lists;
+import gladeknot.commit.TransactionCommitter;
 import gladeknot.connectivity.Authority;
 import gladeknot.connectivity.ConnectivityMonitor;
-import gladeknot.connectivity.OwnerAdvisor;
-import gladeknot.connectivity.WorkerTraffic;
+import gladeknot.connectivity.FailoverAdvisor;
+import gladeknot.connectivity.HeartbeatObserver;
 import gladeknot.fleet.Fleet;
-import gladeknot.fleet.MachineType;
-import gladeknot.http.Json;
-import gladeknot.http.Outbox;
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobRequestHandler;
 import gladeknot.jobs.JobSpec;
-import gladeknot.membership.ClusterFormat;
+import gladeknot.json.Json;
+import gladeknot.lifecycle.TaskLifecycle;
 import gladeknot.membership.Membership;
+import gladeknot.membership.StorageFormat;
+import gladeknot.outbox.Outbox;
 import gladeknot.peer.PeerMessage;
-import gladeknot.placement.HomeSelector;
-import gladeknot.placement.Placer;
-import gladeknot.placement.RecordWriter;
-import gladeknot.placement.Scheduler;
-import gladeknot.placement.Slice;
-import gladeknot.placement.SliceRegistry;
 import gladeknot.policy.Policy;
+import gladeknot.quota.QuotaAllocator;
+import gladeknot.scheduling.HomeShardSelector;
+import gladeknot.scheduling.Scheduler;
 import gladeknot.settings.Features;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
-import gladeknot.teams.Budgets;
+import gladeknot.tasks.SegmentLayout;
+import gladeknot.tasks.SliceRegistry;
 import gladeknot.tracing.TaskTracer;
-import gladeknot.workers.Report;
+import gladeknot.workers.Heartbeat;
+import gladeknot.workers.HeartbeatHandler;
+import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
-import gladeknot.workers.WorkerRequestHandler;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -41,7 +41,7 @@
  * The whole controller as a state machine: time, requests and replies go in, calls and answers come
  * out of its {@link Outbox}.
  */
-public final class Core implements StateStore.Listener {
+public final class Controller implements StateStore.Listener {
   private final Outbox outbox = new Outbox();
   private final Optional<ConnectivityMonitor> connectivity;
   private final StateStore stateStore;
@@ -49,24 +49,24 @@
   private final JobRegistry jobs;
   private final JobRequestHandler jobRequests;
   private final WorkerRegistry workers = new WorkerRegistry();
-  private WorkerRequestHandler workerRequests;
+  private HeartbeatHandler workerRequests;
   private final SliceRegistry slices;
-  private final RecordWriter recordWriter;
-  private final Scheduler scheduler;
-  private final Placer placer;
-  private final Budgets budgets;
+  private final TransactionCommitter recordWriter;
+  private final TaskLifecycle scheduler;
+  private final Scheduler placer;
+  private final QuotaAllocator budgets;
   private final Fleet fleet;
-  private final HomeSelector homes;
+  private final HomeShardSelector homes;
   private final String nodeName;
   private final TaskTracer tracer;
 
   /** Wires the parts of a controller that traces nothing. */
-  public Core(Settings settings, Features features, Policy policy, RandomGenerator random) {
+  public Controller(Settings settings, Features features, Policy policy, RandomGenerator random) {
     this(settings, features, policy, random, TaskTracer.NONE);
   }
 
   /** Wires the parts of a controller; nothing happens before the first {@link #tick}. */
-  public Core(
+  public Controller(
       Settings settings,
       Features features,
       Policy policy,
@@ -83,16 +83,17 @@
             policy,
             stateStore,
             connectivity.<Authority.StateLink>map(c -> c).orElse(Authority.StateLink.TRUSTED),
-            connectivity.<OwnerAdvisor>map(c -> c).orElse(OwnerAdvisor.NONE),
+            connectivity.<FailoverAdvisor>map(c -> c).orElse(FailoverAdvisor.NONE),
             new ShardListener());
     connectivity.ifPresent(
-        c -> c.attach(new CopiedShards(settings, membership, workers), membership.authority()));
+        c -> c.attach(new CachedShardView(settings, membership, workers), membership.authority()));
     jobs = new JobRegistry(this::jobChanged);
     slices =
-        new SliceRegistry(membership.shards(), membership.format()::partSplit, stateStore, workers);
-    recordWriter = new RecordWriter(stateStore, membership, jobs, slices, tracer);
+        new SliceRegistry(
+            membership.shardCount(), membership.format()::segmentSplit, stateStore, workers);
+    recordWriter = new TransactionCommitter(stateStore, membership, jobs, slices, tracer);
     scheduler =
-        new Scheduler(
+        new TaskLifecycle(
             settings,
             membership,
             jobs,
@@ -102,12 +103,12 @@
             outbox,
             this::cacheGb,
             tracer);
-    budgets = new Budgets(settings, stateStore, membership, slices, recordWriter, outbox);
+    budgets = new QuotaAllocator(settings, stateStore, membership, slices, recordWriter, outbox);
     fleet =
         new Fleet(
             settings, policy, stateStore, membership, workers, recordWriter, scheduler, outbox);
     placer =
-        new Placer(
+        new Scheduler(
             settings,
             policy,
             membership,
@@ -120,22 +121,22 @@
             fleet::type,
             fleet::zonesOffered);
     fleet.setPlacer(placer);
-    homes = new HomeSelector(settings, membership, jobs, workers, fleet::type);
+    homes = new HomeShardSelector(settings, membership, jobs, workers, fleet::type);
     recordWriter.afterCommit(
         () -> {
-          scheduler.touch();
+          scheduler.requestScheduling();
           workerRequests.release();
         });
     jobRequests =
         new JobRequestHandler(settings, stateStore, jobs, outbox, tracer, new JobSurroundings());
     workerRequests =
-        new WorkerRequestHandler(
+        new HeartbeatHandler(
             settings,
             stateStore,
             membership,
             workers,
             outbox,
-            connectivity.<WorkerTraffic>map(c -> c).orElse(WorkerTraffic.NONE),
+            connectivity.<HeartbeatObserver>map(c -> c).orElse(HeartbeatObserver.NONE),
             new WorkerSync());
   }
 
@@ -156,7 +157,7 @@
   /** Lets time pass; both clocks in microseconds, the steady one and the time of day. */
   public void tick(long nowMicros, long wallMicros) {
     // First of all what the others are entitled to is judged by this time, also after a stall.
-    membership.now(nowMicros);
+    membership.setTime(nowMicros);
     tracer.now(wallMicros);
     connectivity.ifPresent(c -> c.tick(nowMicros, wallMicros));
     slices.tick(nowMicros);
@@ -172,14 +173,14 @@
   }
 
   /** Takes in what another controller tells. */
-  public void message(PeerMessage message) {
-    budgets.message(message);
-    scheduler.withdrawnElsewhere(message.withdrawn());
-    connectivity.ifPresent(c -> c.message(message));
+  public void onPeerMessage(PeerMessage message) {
+    budgets.onPeerMessage(message);
+    scheduler.onCancelledElsewhere(message.cancelledJobs());
+    connectivity.ifPresent(c -> c.onPeerMessage(message));
   }
 
   /** Takes a request; its answer comes out of the outbox under the same number. */
-  public void request(long id, String method, String uri, byte[] body) {
+  public void onRequest(long id, String method, String uri, byte[] body) {
     int query = uri.indexOf('?');
     String path = query < 0 ? uri : uri.substring(0, query);
     switch (path) {
@@ -195,7 +196,7 @@
       }
       case "/hello" -> {
         if (allowed(id, method, "POST")) {
-          workerRequests.hello(id, body);
+          workerRequests.handle(id, body);
         }
       }
       default -> ofJob(id, method, path);
@@ -216,7 +217,7 @@
     } else if (named && parts.length == 4 && parts[3].equals("abort")) {
       if (allowed(id, method, "POST")) {
         if (JobSpec.isId(parts[2])) {
-          jobRequests.abort(id, parts[2]);
+          jobRequests.cancel(id, parts[2]);
         } else {
           outbox.answer(id, 404, Json.of("error", "no such job"));
         }
@@ -235,10 +236,10 @@
   }
 
   private void health(long id) {
-    if (stateStore.loaded() && membership.entitled() && fleet.typesKnown()) {
+    if (stateStore.loaded() && membership.mayAct() && fleet.typesKnown()) {
       outbox.answer(id, 200, Json.of("ok", true));
     } else {
-      outbox.comeBack(id, 503, "not ready", 1);
+      outbox.retryLater(id, 503, "not ready", 1);
     }
   }
 
@@ -247,110 +248,110 @@
    * records are read by what is known of their jobs, then what the records and other keys say.
    */
   @Override
-  public void changed(List<StateStore.Change> changes) {
+  public void onChanges(List<StateStore.Change> changes) {
     for (StateStore.Change change : changes) {
-      if (change.key().startsWith(Slice.KEYS)) {
-        slices.partChanged(change);
-      } else if (change.key().equals(ClusterFormat.key())) {
-        membership.format().changed();
+      if (change.key().startsWith(SegmentLayout.KEY_PREFIX)) {
+        slices.onSegmentChange(change);
+      } else if (change.key().equals(StorageFormat.key())) {
+        membership.format().onChange();
       }
     }
     for (StateStore.Change change : changes) {
-      if (change.key().startsWith(Job.KEYS)) {
-        jobs.changed(change.key(), change.now());
+      if (change.key().startsWith(Job.KEY_PREFIX)) {
+        jobs.onChange(change.key(), change.after());
       }
     }
     for (StateStore.Change change : changes) {
-      if (change.key().startsWith(Slice.KEYS)) {
-        scheduler.recordChanged(change.key());
-      } else if (change.key().startsWith(Worker.KEYS)) {
-        workers.changed(change.key(), change.before(), change.now());
-        scheduler.touch();
-      } else if (!change.key().startsWith(Job.KEYS)) {
-        scheduler.touch();
+      if (change.key().startsWith(SegmentLayout.KEY_PREFIX)) {
+        scheduler.onSegmentChange(change.key());
+      } else if (change.key().startsWith(Worker.KEY_PREFIX)) {
+        workers.onChange(change.key(), change.before(), change.after());
+        scheduler.requestScheduling();
+      } else if (!change.key().startsWith(Job.KEY_PREFIX)) {
+        scheduler.requestScheduling();
       }
     }
   }
 
   private void jobChanged(Job before, Job now) {
     if (before != null || now != null) {
-      scheduler.jobChanged(before, now);
+      scheduler.onJobChange(before, now);
       if (before == null && now != null && now.active()) {
-        fleet.came(now);
+        fleet.onJobArrival(now);
       }
     }
   }
 
   private void shardGained(int shard) {
-    recordWriter.gained(shard);
-    connectivity.ifPresent(c -> c.gained(shard));
-    scheduler.touch();
+    recordWriter.onAcquired(shard);
+    connectivity.ifPresent(c -> c.onAcquired(shard));
+    scheduler.requestScheduling();
   }
 
   private void shardLost(int shard) {
-    recordWriter.lost(shard);
-    workers.forget(shard);
-    connectivity.ifPresent(c -> c.lost(shard));
+    recordWriter.onReleased(shard);
+    workers.resetSessions(shard);
+    connectivity.ifPresent(c -> c.onReleased(shard));
   }
 
   /** What the other parts do when shards change hands. */
   private final class ShardListener implements Membership.Listener {
     @Override
-    public void gained(int shard) {
+    public void onAcquired(int shard) {
       shardGained(shard);
     }
 
     @Override
-    public void lost(int shard) {
+    public void onReleased(int shard) {
       shardLost(shard);
     }
 
     @Override
-    public boolean silent(int shard) {
-      return scheduler.silent(shard);
+    public boolean mostWorkersTimedOut(int shard) {
+      return scheduler.mostWorkersTimedOut(shard);
     }
   }
 
   /** What the handler of reports asks of placement and fleet. */
-  private final class WorkerSync implements WorkerRequestHandler.Sync {
+  private final class WorkerSync implements HeartbeatHandler.Reconciler {
     @Override
-    public List<Map<String, Object>> orders(Worker worker, Report report) {
-      return scheduler.orders(worker, report);
+    public List<Map<String, Object>> reconcile(Worker worker, Heartbeat report) {
+      return scheduler.reconcile(worker, report);
     }
 
     @Override
-    public long place() {
-      placer.passSoon();
-      return placer.passes() + (scheduler.isChanged() ? 1 : 0);
+    public long requestScheduling() {
+      placer.runIfNeeded();
+      return placer.completedRounds() + (scheduler.isSchedulingNeeded() ? 1 : 0);
     }
 
     @Override
-    public long placed() {
-      return placer.passes();
+    public long completedRounds() {
+      return placer.completedRounds();
     }
 
     @Override
-    public void restarted(Worker worker, Report now) {
-      scheduler.restarted(worker, now);
+    public void onWorkerRestart(Worker worker, Heartbeat now) {
+      scheduler.onWorkerRestart(worker, now);
     }
 
     @Override
-    public List<Map<String, Object>> overdue(Report report) {
-      return scheduler.overdue(report);
+    public List<Map<String, Object>> killsForFinishedJobs(Heartbeat report) {
+      return scheduler.killsForFinishedJobs(report);
     }
 
     @Override
-    public boolean quiet(Worker worker) {
-      return scheduler.quiet(worker);
+    public boolean isSteady(Worker worker) {
+      return scheduler.isSteady(worker);
     }
 
     @Override
-    public void adopt(Report report) {
-      fleet.adopt(report);
+    public void registerUnknownWorker(Heartbeat report) {
+      fleet.registerUnknownWorker(report);
     }
   }
 
-  private final class JobSurroundings implements JobRequestHandler.Surroundings {
+  private final class JobSurroundings implements JobRequestHandler.ClusterView {
     @Override
     public boolean typesKnown() {
       return fleet.typesKnown();
@@ -367,8 +368,8 @@
     }
 
     @Override
-    public int[] counts(Job job) {
-      return scheduler.counts(job);
+    public int[] taskCounts(Job job) {
+      return scheduler.taskCounts(job);
     }
 
     @Override
@@ -377,9 +378,9 @@
     }
 
     @Override
-    public void withdrawn(List<String> ids) {
-      for (List<String> part : Lists.partition(ids, PeerMessage.MOST_WITHDRAWN)) {
-        outbox.message(PeerMessage.ofWithdrawn(nodeName, part));
+    public void announceCancelled(List<String> ids) {
+      for (List<String> part : Lists.partition(ids, PeerMessage.MAX_CANCELLED_JOBS)) {
+        outbox.sendToPeers(PeerMessage.ofCancelledJobs(nodeName, part));
       }
     }
   }
--- a/src/main/java/gladeknot/app/Service.java
+++ b/src/main/java/gladeknot/app/ControllerProcess.java
@@ -2,7 +2,7 @@
 
 import gladeknot.http.HttpCaller;
 import gladeknot.http.HttpServer;
-import gladeknot.http.Outbox;
+import gladeknot.outbox.Outbox;
 import gladeknot.peer.PeerLinks;
 import gladeknot.policy.Policy;
 import gladeknot.settings.Features;
@@ -18,8 +18,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Runs the core on one event loop: carries its calls and answers out, lets its time pass. */
-public final class Service {
-  private static final Logger LOG = LoggerFactory.getLogger(Service.class);
+public final class ControllerProcess {
+  private static final Logger LOG = LoggerFactory.getLogger(ControllerProcess.class);
   private static final long TICK_MS = 50;
 
   /** Sockets kept for calls to other services. */
@@ -27,7 +27,7 @@
 
   private final Settings settings;
   private final Features features;
-  private final Core core;
+  private final Controller core;
   private final EventLoopGroup group;
   private final HttpServer server;
   private final HttpCaller caller;
@@ -35,16 +35,16 @@
   private boolean draining;
 
   /** Prepares a controller; it begins to serve when it is started. */
-  public Service(Settings settings, Features features, Policy policy, TaskTracer tracer) {
+  public ControllerProcess(Settings settings, Features features, Policy policy, TaskTracer tracer) {
     this.settings = settings;
     this.features = features;
     long seed = settings.node().hashCode() * 31L + System.nanoTime();
-    this.core = new Core(settings, features, policy, new SplittableRandom(seed), tracer);
+    this.core = new Controller(settings, features, policy, new SplittableRandom(seed), tracer);
     this.group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     int most = Math.max(50, settings.maxConnections() - OWN_SOCKETS);
     this.server = new HttpServer(this::request, most);
     this.caller = new HttpCaller(group, this::reply);
-    this.peers = new PeerLinks(settings, group, core::message);
+    this.peers = new PeerLinks(settings, group, core::onPeerMessage);
   }
 
   /** Starts; the event loop's thread keeps the process running. */
@@ -78,10 +78,10 @@
   private void request(long id, String method, String path, byte[] body) {
     try {
       core.tick(now(), System.currentTimeMillis() * 1000);
-      core.request(id, method, path, body);
+      core.onRequest(id, method, path, body);
     } catch (RuntimeException e) {
       LOG.error("{} {} failed", method, path, e);
-      core.outbox().comeBack(id, 503, "internal error", 1);
+      core.outbox().retryLater(id, 503, "internal error", 1);
     }
     drain();
   }
@@ -104,11 +104,11 @@
     try {
       boolean more = true;
       while (more) {
-        var answers = core.outbox().takeAnswers();
-        var calls = core.outbox().takeCalls();
+        var answers = core.outbox().drainAnswers();
+        var calls = core.outbox().drainCalls();
         answers.forEach(server::answer);
         calls.forEach(caller::call);
-        core.outbox().takeMessages().forEach(peers::send);
+        core.outbox().drainPeerMessages().forEach(peers::send);
         more = !answers.isEmpty() || !calls.isEmpty();
       }
     } finally {
--- a/src/main/java/gladeknot/app/Main.java
+++ b/src/main/java/gladeknot/app/Main.java
@@ -132,7 +132,7 @@
       return BAD_SETTINGS;
     }
     try {
-      new Service(settings, features, Policy.load(policyFile), tracer).start();
+      new ControllerProcess(settings, features, Policy.load(policyFile), tracer).start();
     } catch (IOException e) {
       System.err.println(policyFile + ": can't be read: " + e.getMessage());
       return BAD_SETTINGS;
--- a/src/main/java/gladeknot/app/StatusCommand.java
+++ b/src/main/java/gladeknot/app/StatusCommand.java
@@ -1,6 +1,6 @@
 package gladeknot.app;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.ConnectException;
--- a/src/main/java/gladeknot/app/StatusListener.java
+++ b/src/main/java/gladeknot/app/StatusListener.java
@@ -1,8 +1,8 @@
 package gladeknot.app;
 
 import gladeknot.http.HttpServer;
-import gladeknot.http.Json;
-import gladeknot.http.Outbox;
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
 import io.netty.channel.EventLoopGroup;
 import java.util.Map;
 import java.util.function.Supplier;
@@ -16,14 +16,14 @@
   /** The one path that is served. */
   static final String PATH = "/status";
 
-  private static final int MOST_CONNECTIONS = 20;
+  private static final int MAX_CONNECTIONS = 20;
 
   private final Supplier<Map<String, Object>> status;
   private final HttpServer server;
 
   StatusListener(Supplier<Map<String, Object>> status) {
     this.status = status;
-    this.server = new HttpServer(this::request, MOST_CONNECTIONS);
+    this.server = new HttpServer(this::request, MAX_CONNECTIONS);
   }
 
   /** Listens on host:port, on the same event loop as everything else. */
--- a/src/main/java/gladeknot/placement/PartMover.java
+++ b/src/main/java/gladeknot/commit/SegmentMigration.java
@@ -1,5 +1,6 @@
-package gladeknot.placement;
+package gladeknot.commit;
 
+import gladeknot.tasks.Slice;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -15,11 +16,11 @@
  * <p>What is left of a part must fit the largest value, so each step takes as many of its pieces as
  * one transaction can, the largest first.
  */
-final class PartMover {
+final class SegmentMigration {
   /** One step: the slices of one part that move, and those that stay in it for now. */
   record Step(String part, List<Slice> moving, List<Slice> staying) {}
 
-  private PartMover() {}
+  private SegmentMigration() {}
 
   /**
    * The next step for a shard's slices.
@@ -32,17 +33,18 @@
     String part = null;
     Map<String, List<Slice>> pieces = new LinkedHashMap<>();
     for (Slice s : slices) {
-      boolean movable = s.misplaced() && s.claims.isEmpty() && !unmovable.contains(s.recordedKey);
-      if (movable && (part == null || part.equals(s.recordedKey))) {
-        part = s.recordedKey;
-        pieces.computeIfAbsent(s.wantedKey(), key -> new ArrayList<>()).add(s);
+      boolean movable =
+          s.needsMigration() && s.pendingClaims().isEmpty() && !unmovable.contains(s.storedKey());
+      if (movable && (part == null || part.equals(s.storedKey()))) {
+        part = s.storedKey();
+        pieces.computeIfAbsent(s.targetKey(), key -> new ArrayList<>()).add(s);
       }
     }
     if (part == null) {
       return null;
     }
     List<List<Slice>> bySize = new ArrayList<>(pieces.values());
-    bySize.sort(Comparator.comparingInt(PartMover::size).reversed());
+    bySize.sort(Comparator.comparingInt(SegmentMigration::size).reversed());
     List<Slice> moving = new ArrayList<>();
     for (List<Slice> piece : bySize.subList(0, Math.min(operations - 1, bySize.size()))) {
       moving.addAll(piece);
@@ -50,7 +52,7 @@
     Set<Slice> moved = new HashSet<>(moving);
     List<Slice> staying = new ArrayList<>();
     for (Slice s : slices) {
-      if (part.equals(s.recordedKey) && !moved.contains(s)) {
+      if (part.equals(s.storedKey()) && !moved.contains(s)) {
         staying.add(s);
       }
     }
@@ -58,6 +60,6 @@
   }
 
   private static int size(List<Slice> piece) {
-    return piece.stream().mapToInt(s -> s.record().length()).sum();
+    return piece.stream().mapToInt(s -> s.encode().length()).sum();
   }
 }
--- a/src/main/java/gladeknot/placement/RecordBatch.java
+++ b/src/main/java/gladeknot/commit/TransactionBatch.java
@@ -1,9 +1,13 @@
-package gladeknot.placement;
+package gladeknot.commit;
 
-import gladeknot.placement.RecordWriter.FieldChange;
-import gladeknot.placement.RecordWriter.KeyChange;
+import gladeknot.commit.TransactionCommitter.FieldMutation;
+import gladeknot.commit.TransactionCommitter.KeyMutation;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Write;
+import gladeknot.state.StateStore.Mutation;
+import gladeknot.tasks.Attempt;
+import gladeknot.tasks.SegmentLayout;
+import gladeknot.tasks.Slice;
+import gladeknot.tasks.SliceRegistry;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -13,10 +17,10 @@
 import java.util.Set;
 
 /**
- * One transaction of a {@link RecordWriter} as it is put together: what it changes, on which stamps
- * that was decided, and who is to hear of its outcome.
+ * One transaction of a {@link TransactionCommitter} as it is put together: what it changes, on
+ * which stamps that was decided, and who is to hear of its outcome.
  */
-final class RecordBatch {
+final class TransactionBatch {
   /** What an object takes besides its fields. */
   private static final int BRACES = 2;
 
@@ -32,25 +36,25 @@
       Set<String> keys) {}
 
   final List<SliceSnapshot> slices = new ArrayList<>();
-  final List<KeyChange> extras = new ArrayList<>();
-  final List<FieldChange> edits = new ArrayList<>();
-  final List<Write> whole = new ArrayList<>();
+  final List<KeyMutation> keyMutations = new ArrayList<>();
+  final List<FieldMutation> fieldMutations = new ArrayList<>();
+  final List<Mutation> whole = new ArrayList<>();
 
   /** Keys of many fields, as they are to be; empty ones are deleted. */
-  final Map<String, Map<String, Object>> packed = new LinkedHashMap<>();
+  final Map<String, Map<String, Object>> segments = new LinkedHashMap<>();
 
   final Map<String, Long> conditions = new LinkedHashMap<>();
   private final StateStore stateStore;
   private final SliceRegistry registry;
   private int bytes;
 
-  RecordBatch(StateStore stateStore, SliceRegistry registry) {
+  TransactionBatch(StateStore stateStore, SliceRegistry registry) {
     this.stateStore = stateStore;
     this.registry = registry;
   }
 
   int operations() {
-    return whole.size() + packed.size();
+    return whole.size() + segments.size();
   }
 
   /** About how many bytes its values take. */
@@ -58,24 +62,24 @@
     return bytes;
   }
 
-  List<Write> writes() {
-    List<Write> writes = new ArrayList<>(whole);
-    packed.forEach(
-        (key, data) -> writes.add(data.isEmpty() ? Write.delete(key) : Write.put(key, data)));
+  List<Mutation> writes() {
+    List<Mutation> writes = new ArrayList<>(whole);
+    segments.forEach(
+        (key, data) -> writes.add(data.isEmpty() ? Mutation.delete(key) : Mutation.put(key, data)));
     return writes;
   }
 
   /** Makes it conditional on a key's present stamp. */
   void condition(String key) {
-    conditions.put(key, stateStore.stamp(key));
+    conditions.put(key, stateStore.modRevision(key));
   }
 
   /** Changes one field of a packed key; null takes it away. */
   void put(String key, String field, String value) {
-    Map<String, Object> data = packed.get(key);
+    Map<String, Object> data = segments.get(key);
     if (data == null) {
-      data = new HashMap<>(registry.data(key));
-      packed.put(key, data);
+      data = new HashMap<>(registry.segment(key));
+      segments.put(key, data);
       condition(key);
       bytes += registry.bytes(key);
     }
@@ -89,15 +93,15 @@
 
   /** How many bytes a part takes with what is changed here. */
   int partBytes(String key) {
-    Map<String, Object> data = packed.get(key);
+    Map<String, Object> data = segments.get(key);
     return data == null ? registry.bytes(key) : SliceRegistry.bytes(data);
   }
 
   /** The parts of records that are larger than the service takes. */
   List<String> tooLarge(int mostBytes) {
     List<String> keys = new ArrayList<>();
-    for (String key : packed.keySet()) {
-      if (key.startsWith(Slice.KEYS) && partBytes(key) + BRACES > mostBytes) {
+    for (String key : segments.keySet()) {
+      if (key.startsWith(SegmentLayout.KEY_PREFIX) && partBytes(key) + BRACES > mostBytes) {
         keys.add(key);
       }
     }
--- a/src/main/java/gladeknot/placement/RecordWriter.java
+++ b/src/main/java/gladeknot/commit/TransactionCommitter.java
@@ -1,15 +1,19 @@
-package gladeknot.placement;
+package gladeknot.commit;
 
-import gladeknot.connectivity.OrderKind;
+import gladeknot.commit.TransactionBatch.SliceSnapshot;
+import gladeknot.connectivity.ControlAction;
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
-import gladeknot.membership.ClusterFormat;
 import gladeknot.membership.Membership;
-import gladeknot.placement.RecordBatch.SliceSnapshot;
+import gladeknot.membership.StorageFormat;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Outcome;
-import gladeknot.state.StateStore.Write;
+import gladeknot.state.StateStore.CommitOutcome;
+import gladeknot.state.StateStore.Mutation;
 import gladeknot.state.TransactionLimits;
+import gladeknot.tasks.Attempt;
+import gladeknot.tasks.SegmentLayout;
+import gladeknot.tasks.Slice;
+import gladeknot.tasks.SliceRegistry;
 import gladeknot.tracing.TaskTracer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -32,8 +36,8 @@
  * <p>Keys of many slices or many machines are changed field by field: a transaction takes the
  * newest copy of such a key, changes its fields and is conditional on that copy's stamp.
  */
-public final class RecordWriter {
-  private static final Logger LOG = LoggerFactory.getLogger(RecordWriter.class);
+public final class TransactionCommitter {
+  private static final Logger LOG = LoggerFactory.getLogger(TransactionCommitter.class);
   private static final long PAUSE_MICROS = 150_000;
 
   /** Ends wait so long for company; starts and what completes a slice don't. */
@@ -52,18 +56,23 @@
   private static final double KEEP = 0.3;
 
   /** How small transactions become, one halving after the other, when one was refused as such. */
-  private static final double LEAST_SHRUNK = 0.05;
+  private static final double MIN_SHRUNK = 0.05;
 
   /** A change of one whole key for a shard. */
-  public record KeyChange(
-      int shard, Write write, Map<String, Long> conditions, Consumer<Boolean> then) {}
+  public record KeyMutation(
+      int shard, Mutation mutation, Map<String, Long> conditions, Consumer<Boolean> onOutcome) {}
 
   /**
    * A change of one field of a packed key for a shard, from one value to another; null stands for
    * none.
    */
-  public record FieldChange(
-      int shard, String key, String field, String from, String to, Consumer<Boolean> then) {}
+  public record FieldMutation(
+      int shard,
+      String key,
+      String field,
+      String expected,
+      String value,
+      Consumer<Boolean> onOutcome) {}
 
   private final StateStore stateStore;
   private final TransactionLimits limits;
@@ -72,9 +81,9 @@
   private final SliceRegistry slices;
   private final TaskTracer tracer;
   private final Set<Slice> dirty = new LinkedHashSet<>();
-  private final ArrayDeque<KeyChange> extras = new ArrayDeque<>();
-  private final ArrayDeque<FieldChange> edits = new ArrayDeque<>();
-  private RecordBatch inFlight;
+  private final ArrayDeque<KeyMutation> keyMutations = new ArrayDeque<>();
+  private final ArrayDeque<FieldMutation> fieldMutations = new ArrayDeque<>();
+  private TransactionBatch inFlight;
 
   /** Parts that could not be moved as they are; looked at again after all others. */
   private final Set<String> unmovable = new HashSet<>();
@@ -88,7 +97,7 @@
   private Runnable afterCommit = () -> {};
 
   /** A writer with nothing to write. */
-  public RecordWriter(
+  public TransactionCommitter(
       StateStore stateStore,
       Membership membership,
       JobRegistry jobs,
@@ -108,25 +117,22 @@
   }
 
   /** A slice's working copy has changed. */
-  void changed(Slice slice) {
-    slice.version++;
-    if (slice.dirtySinceMicros == 0) {
-      slice.dirtySinceMicros = nowMicros;
-    }
+  public void markDirty(Slice slice) {
+    slice.markDirty(nowMicros);
     dirty.add(slice);
   }
 
-  public void add(KeyChange extra) {
-    extras.add(extra);
+  public void submit(KeyMutation extra) {
+    keyMutations.add(extra);
   }
 
-  public void add(FieldChange edit) {
-    edits.add(edit);
+  public void submit(FieldMutation edit) {
+    fieldMutations.add(edit);
   }
 
   /** Whether the part that a slice lies in is being written. */
-  boolean busy(Slice slice) {
-    return inFlight != null && inFlight.packed.containsKey(slice.key());
+  public boolean isInFlight(Slice slice) {
+    return inFlight != null && inFlight.segments.containsKey(slice.key());
   }
 
   /** Sends the next transaction if there is one to send. */
@@ -146,13 +152,13 @@
     if (moveMisplaced()) {
       return;
     }
-    if (dirty.isEmpty() && extras.isEmpty() && edits.isEmpty()) {
+    if (dirty.isEmpty() && keyMutations.isEmpty() && fieldMutations.isEmpty()) {
       return;
     }
     // Claims and all else go by turns. A claim takes two writes at least, and the room that it was
     // decided on stays taken until it is committed: if the others used up what there is each time,
     // it would wait for ever.
-    RecordBatch batch = claimsNext ? gatherClaims() : gather();
+    TransactionBatch batch = claimsNext ? gatherClaims() : gather();
     claimsNext = (batch == null) == claimsNext;
     if (batch != null && batch.operations() == 0) {
       batch = claimsNext ? gatherClaims() : gather();
@@ -165,13 +171,13 @@
       return;
     }
     if (!send(batch)) {
-      batch.extras.forEach(extras::addFirst);
-      batch.edits.forEach(edits::addFirst);
+      batch.keyMutations.forEach(keyMutations::addFirst);
+      batch.fieldMutations.forEach(fieldMutations::addFirst);
     }
   }
 
-  private boolean send(RecordBatch batch) {
-    if (!stateStore.takeWrites(batch.operations(), 0)) {
+  private boolean send(TransactionBatch batch) {
+    if (!stateStore.tryAcquireWrites(batch.operations(), 0)) {
       return false;
     }
     inFlight = batch;
@@ -188,12 +194,13 @@
     if (nowMicros < nextMoveMicros) {
       return false;
     }
-    for (int shard : membership.owned()) {
-      if (!membership.permits(OrderKind.RECORD, shard)) {
+    for (int shard : membership.ownedShards()) {
+      if (!membership.permits(ControlAction.COMMIT, shard)) {
         continue;
       }
       dropMisplacedClaims(shard);
-      PartMover.Step step = PartMover.next(slices.of(shard), mostOperations(), unmovable);
+      SegmentMigration.Step step =
+          SegmentMigration.next(slices.inShard(shard), mostOperations(), unmovable);
       if (step != null) {
         return move(step);
       }
@@ -205,15 +212,15 @@
 
   /** What was only decided is decided again once the record is where it belongs. */
   private void dropMisplacedClaims(int shard) {
-    for (Slice s : List.copyOf(slices.of(shard))) {
-      if (s.misplaced() && !s.claims.isEmpty()) {
+    for (Slice s : List.copyOf(slices.inShard(shard))) {
+      if (s.needsMigration() && !s.pendingClaims().isEmpty()) {
         reload(s);
       }
     }
   }
 
-  private boolean move(PartMover.Step step) {
-    RecordBatch batch = new RecordBatch(stateStore, slices);
+  private boolean move(SegmentMigration.Step step) {
+    TransactionBatch batch = new TransactionBatch(stateStore, slices);
     for (Slice s : step.moving()) {
       if (conditionsFit(s, batch)) {
         gather(s, batch);
@@ -222,11 +229,11 @@
     for (Slice s : step.staying()) {
       // Written anew, and so in the shorter form; what it has besides its record goes later.
       if (!dirty.contains(s)) {
-        batch.put(step.part(), s.job(), s.record());
+        batch.put(step.part(), s.job(), s.encode());
       }
     }
     // A record must not leave one part without entering the other: all of it goes, or nothing.
-    if (batch.slices.isEmpty() || !batch.tooLarge(limits.valueBytes()).isEmpty()) {
+    if (batch.slices.isEmpty() || !batch.tooLarge(limits.maxValueBytes()).isEmpty()) {
       unmovable.add(step.part());
       return false;
     }
@@ -239,20 +246,20 @@
    * Leaves out parts that the service would not take: what is in them goes when more has ended, and
    * nothing is sent again that was refused for its size.
    */
-  private void dropTooLarge(RecordBatch batch) {
-    for (String key : batch.tooLarge(limits.valueBytes())) {
+  private void dropTooLarge(TransactionBatch batch) {
+    for (String key : batch.tooLarge(limits.maxValueBytes())) {
       LOG.info("{} would be too large", key);
       List<SliceSnapshot> dropped =
           batch.slices.stream().filter(c -> c.keys().contains(key)).toList();
       boolean claims = dropped.stream().anyMatch(c -> !c.claims().isEmpty());
       if (claims) {
         // What is taken and whom it is taken from go together or not at all.
-        batch.packed.clear();
+        batch.segments.clear();
         batch.slices.forEach(c -> reload(c.slice()));
         batch.slices.clear();
         return;
       }
-      batch.packed.remove(key);
+      batch.segments.remove(key);
       batch.conditions.remove(key);
       batch.slices.removeAll(dropped);
     }
@@ -260,24 +267,26 @@
 
   /** How many writes a transaction may have by its size and by the tokens that are left. */
   private int room(double keep) {
-    return Math.min(mostOperations(), stateStore.writesLeft(keep));
+    return Math.min(mostOperations(), stateStore.availableWrites(keep));
   }
 
   private int mostOperations() {
-    return Math.max(2, (int) (limits.operations() * shrunk));
+    return Math.max(2, (int) (limits.maxOperations() * shrunk));
   }
 
   /**
    * Whether a transaction that holds something already can take a slice's conditions as well: its
    * own part and shard, its job, other slices of it that decide on zones, parts it claims from.
    */
-  private boolean conditionsFit(Slice s, RecordBatch batch) {
-    int more = USUAL_CONDITIONS + s.claims.size() + (s.misplaced() ? 1 : 0);
+  private boolean conditionsFit(Slice s, TransactionBatch batch) {
+    int more = USUAL_CONDITIONS + s.pendingClaims().size() + (s.needsMigration() ? 1 : 0);
     Job job = jobs.active(s.job());
-    if (job != null && s.starts() && (job.spec().scatter() || job.spec().together())) {
-      more += slices.of(s.job()).size();
+    if (job != null
+        && s.hasUncommittedStarts()
+        && (job.spec().spread() || job.spec().colocated())) {
+      more += slices.inShard(s.job()).size();
     }
-    int most = limits.conditions(mostOperations());
+    int most = limits.maxConditions(mostOperations());
     return batch.slices.isEmpty() || batch.conditions.size() + more <= most;
   }
 
@@ -285,8 +294,8 @@
    * Gathers ends, starts without claims and other changes: part by part, so that one write serves
    * all that has happened in it.
    */
-  private RecordBatch gather() {
-    RecordBatch batch = new RecordBatch(stateStore, slices);
+  private TransactionBatch gather() {
+    TransactionBatch batch = new TransactionBatch(stateStore, slices);
     int room = room(KEEP);
     if (room <= 0) {
       return batch;
@@ -294,17 +303,17 @@
     gatherOthers(batch, Math.max(1, room / 2));
     Set<String> chosen = new HashSet<>();
     for (Slice s : dirty) {
-      boolean ready = s.claims.isEmpty() && !s.misplaced() && mayWrite(s);
+      boolean ready = s.pendingClaims().isEmpty() && !s.needsMigration() && mayWrite(s);
       if (ready && due(s) && batch.operations() + chosen.size() < room) {
         chosen.add(s.key());
       }
     }
     if (!chosen.isEmpty()) {
       for (Slice s : List.copyOf(dirty)) {
-        if (s.claims.isEmpty()
-            && !s.misplaced()
+        if (s.pendingClaims().isEmpty()
+            && !s.needsMigration()
             && chosen.contains(s.key())
-            && batch.bytes() < limits.transactionBytes()
+            && batch.bytes() < limits.maxTransactionBytes()
             && conditionsFit(s, batch)) {
           gather(s, batch);
         }
@@ -315,9 +324,9 @@
 
   /** Whether what a slice has to write can't wait for company any longer. */
   private boolean due(Slice s) {
-    return nowMicros - s.dirtySinceMicros >= END_WAIT_MICROS
-        || s.starts()
-        || s.complete()
+    return nowMicros - s.dirtySinceMicros() >= END_WAIT_MICROS
+        || s.hasUncommittedStarts()
+        || s.isComplete()
         || jobs.active(s.job()) == null;
   }
 
@@ -325,19 +334,19 @@
    * Gathers claims: they rely on other shards' parts, and what fails with them is little. Null if
    * there are some that tokens are still to come for.
    */
-  private RecordBatch gatherClaims() {
-    RecordBatch batch = new RecordBatch(stateStore, slices);
+  private TransactionBatch gatherClaims() {
+    TransactionBatch batch = new TransactionBatch(stateStore, slices);
     int room = room(KEEP);
     boolean wanting = false;
     for (Slice s : List.copyOf(dirty)) {
-      if (s.claims.isEmpty() || s.misplaced() || !mayWrite(s)) {
+      if (s.pendingClaims().isEmpty() || s.needsMigration() || !mayWrite(s)) {
         continue;
       }
-      Set<String> keys = new HashSet<>(batch.packed.keySet());
+      Set<String> keys = new HashSet<>(batch.segments.keySet());
       keys.add(s.key());
-      s.claims.keySet().forEach(from -> keys.add(from.key()));
+      s.pendingClaims().keySet().forEach(from -> keys.add(from.key()));
       if (keys.size() > room
-          || batch.bytes() > limits.transactionBytes()
+          || batch.bytes() > limits.maxTransactionBytes()
           || !conditionsFit(s, batch)) {
         wanting = true;
         continue;
@@ -351,7 +360,7 @@
     return batch.operations() == 0 && wanting ? null : batch;
   }
 
-  private static boolean claimTwice(Slice s, RecordBatch batch) {
+  private static boolean claimTwice(Slice s, TransactionBatch batch) {
     for (SliceSnapshot c : batch.slices) {
       if (c.slice().job().equals(s.job())) {
         return true;
@@ -360,43 +369,43 @@
     return false;
   }
 
-  private void gatherOthers(RecordBatch batch, int room) {
-    for (int n = edits.size(); n > 0; n--) {
-      FieldChange e = edits.poll();
-      if (!mayGo(e.shard(), () -> e.then().accept(false))) {
-        if (membership.owned().contains(e.shard())) {
-          edits.add(e);
+  private void gatherOthers(TransactionBatch batch, int room) {
+    for (int n = fieldMutations.size(); n > 0; n--) {
+      FieldMutation e = fieldMutations.poll();
+      if (!mayGo(e.shard(), () -> e.onOutcome().accept(false))) {
+        if (membership.ownedShards().contains(e.shard())) {
+          fieldMutations.add(e);
         }
         continue;
       }
-      if (!batch.packed.containsKey(e.key()) && batch.operations() >= room) {
-        edits.add(e);
+      if (!batch.segments.containsKey(e.key()) && batch.operations() >= room) {
+        fieldMutations.add(e);
         continue;
       }
-      Map<String, Object> before = slices.data(e.key());
-      Map<String, Object> now = batch.packed.getOrDefault(e.key(), before);
-      if (!Objects.equals(now.get(e.field()), e.from())) {
-        e.then().accept(false);
+      Map<String, Object> before = slices.segment(e.key());
+      Map<String, Object> now = batch.segments.getOrDefault(e.key(), before);
+      if (!Objects.equals(now.get(e.field()), e.expected())) {
+        e.onOutcome().accept(false);
         continue;
       }
-      batch.put(e.key(), e.field(), e.to());
-      batch.edits.add(e);
+      batch.put(e.key(), e.field(), e.value());
+      batch.fieldMutations.add(e);
       batch.condition(Membership.shardKey(e.shard()));
     }
-    for (int n = extras.size(); n > 0 && batch.operations() < room; n--) {
-      KeyChange e = extras.poll();
-      if (!mayGo(e.shard(), () -> e.then().accept(false))) {
-        if (membership.owned().contains(e.shard())) {
-          extras.add(e);
+    for (int n = keyMutations.size(); n > 0 && batch.operations() < room; n--) {
+      KeyMutation e = keyMutations.poll();
+      if (!mayGo(e.shard(), () -> e.onOutcome().accept(false))) {
+        if (membership.ownedShards().contains(e.shard())) {
+          keyMutations.add(e);
         }
         continue;
       }
       if (e.conditions().keySet().stream().anyMatch(batch.conditions::containsKey)) {
-        extras.add(e);
+        keyMutations.add(e);
         continue;
       }
-      batch.extras.add(e);
-      batch.whole.add(e.write());
+      batch.keyMutations.add(e);
+      batch.whole.add(e.mutation());
       batch.conditions.putAll(e.conditions());
       batch.condition(Membership.shardKey(e.shard()));
     }
@@ -404,16 +413,16 @@
 
   /** Whether what a slice has to write may be written now. */
   private boolean mayWrite(Slice s) {
-    return membership.permits(OrderKind.DECIDE, s.shard())
-        || (membership.permits(OrderKind.RECORD, s.shard()) && !s.starts());
+    return membership.permits(ControlAction.SCHEDULE, s.shard())
+        || (membership.permits(ControlAction.COMMIT, s.shard()) && !s.hasUncommittedStarts());
   }
 
   /** Whether a shard's changes may be written now; what can't ever be any more is dropped. */
   private boolean mayGo(int shard, Runnable dropped) {
-    if (membership.permits(OrderKind.RECORD, shard)) {
+    if (membership.permits(ControlAction.COMMIT, shard)) {
       return true;
     }
-    if (!membership.owned().contains(shard)) {
+    if (!membership.ownedShards().contains(shard)) {
       dropped.run();
     }
     return false;
@@ -421,11 +430,11 @@
 
   /** Whether all tasks that a slice is to take over are still free where they are taken from. */
   private boolean claimsStand(Slice s) {
-    for (Map.Entry<Slice, BitSet> claim : s.claims.entrySet()) {
+    for (Map.Entry<Slice, BitSet> claim : s.pendingClaims().entrySet()) {
       Slice from = claim.getKey();
       if (slices.get(from.shard(), from.job()) != from
           || dirty.contains(from)
-          || !claim.getValue().stream().allMatch(from::isTodo)) {
+          || !claim.getValue().stream().allMatch(from::isPending)) {
         return false;
       }
     }
@@ -434,12 +443,12 @@
 
   /** Starts of a job that is over are not written any more. */
   private void dropStarts(Slice s) {
-    for (Attempt a : List.copyOf(s.out.values())) {
-      if (!a.committed) {
-        slices.remove(a);
+    for (Attempt a : List.copyOf(s.attemptsByTask().values())) {
+      if (!a.committed()) {
+        slices.removeAttempt(a);
       }
     }
-    s.claims.clear();
+    s.pendingClaims().clear();
   }
 
   private static BitSet without(BitSet all, BitSet taken) {
@@ -450,74 +459,76 @@
 
   /** The parts that a slice's next commit changes: two if its record moves. */
   private static Set<String> partsOf(Slice s) {
-    return s.misplaced() ? Set.of(s.recordedKey, s.wantedKey()) : Set.of(s.wantedKey());
+    return s.needsMigration() ? Set.of(s.storedKey(), s.targetKey()) : Set.of(s.targetKey());
   }
 
-  private void gather(Slice s, RecordBatch batch) {
+  private void gather(Slice s, TransactionBatch batch) {
     Job job = jobs.active(s.job());
     if (job == null) {
       dropStarts(s);
     }
-    if (!claimsStand(s) || (job != null && s.starts() && !slices.zonesStand(job.spec()))) {
+    if (!claimsStand(s)
+        || (job != null && s.hasUncommittedStarts() && !slices.zoneConstraintsHold(job.spec()))) {
       // Other shards have started some of the job's tasks since: what was decided is dropped.
       reload(s);
       return;
     }
     List<Attempt> live = new ArrayList<>();
     List<Attempt> closed = new ArrayList<>();
-    for (Attempt a : s.out.values()) {
-      (a.closed ? closed : live).add(a);
+    for (Attempt a : s.attemptsByTask().values()) {
+      (a.closed() ? closed : live).add(a);
     }
     // Nothing of a job that is over is on a machine any more: its record goes.
-    String record = job == null && live.isEmpty() ? null : s.record();
-    String key = s.wantedKey();
+    String record = job == null && live.isEmpty() ? null : s.encode();
+    String key = s.targetKey();
     int size =
         batch.partBytes(key)
             + (record == null ? 0 : record.length() + s.job().length() + SliceRegistry.FIELD_BYTES);
-    if (s.starts() && size > limits.valueBytes()) {
+    if (s.hasUncommittedStarts() && size > limits.maxValueBytes()) {
       // The part is full: its tasks wait until it is split, others have ended, or they are claimed.
-      membership.format().partsFull();
+      membership.format().reportSegmentFull();
       reload(s);
-      s.restUntilMicros = nowMicros + END_WAIT_MICROS;
+      s.backOffUntil(nowMicros + END_WAIT_MICROS);
       return;
     }
-    for (Map.Entry<Slice, BitSet> claim : s.claims.entrySet()) {
+    for (Map.Entry<Slice, BitSet> claim : s.pendingClaims().entrySet()) {
       Slice from = claim.getKey();
       // Taking tasks from a slice may make its record longer, or its first: a full part has no
       // room.
       int bytes = batch.partBytes(from.key());
-      String left = from.record(without(from.assigned, claim.getValue()));
+      String left = from.encode(without(from.assigned(), claim.getValue()));
       int more = left.length() + from.job().length() + SliceRegistry.FIELD_BYTES;
-      if (bytes + more > limits.valueBytes()) {
+      if (bytes + more > limits.maxValueBytes()) {
         reload(s);
-        from.restUntilMicros = nowMicros + FULL_MICROS;
+        from.backOffUntil(nowMicros + FULL_MICROS);
         return;
       }
     }
     Set<String> keys = new HashSet<>(partsOf(s));
     keys.add(Membership.shardKey(s.shard()));
-    if (s.misplaced()) {
-      batch.put(s.recordedKey, s.job(), null);
+    if (s.needsMigration()) {
+      batch.put(s.storedKey(), s.job(), null);
     }
     batch.put(key, s.job(), record);
     // A writer that knows an earlier format would look for the record, or make it, elsewhere.
-    batch.conditions.put(ClusterFormat.key(), membership.format().stamp());
+    batch.conditions.put(StorageFormat.key(), membership.format().revision());
     batch.condition(Membership.shardKey(s.shard()));
     for (Attempt a : closed) {
-      if (a.lapsed) {
+      if (a.leaseExpired()) {
         // Another controller may have begun to renew leases in our place: then nothing lapsed.
-        batch.conditions.merge(Membership.delegationKey(s.shard()), a.delegationStamp, Math::min);
+        batch.conditions.merge(
+            Membership.delegationKey(s.shard()), a.delegationRevision(), Math::min);
         keys.add(Membership.delegationKey(s.shard()));
       }
     }
-    if (job != null && s.starts()) {
+    if (job != null && s.hasUncommittedStarts()) {
       // A cancellation that is committed before this start makes the start fail.
-      batch.conditions.put(Job.key(s.job()), job.stamp());
+      batch.conditions.put(Job.key(s.job()), job.modRevision());
       keys.add(Job.key(s.job()));
-      if (job.spec().scatter() || job.spec().together()) {
+      if (job.spec().spread() || job.spec().colocated()) {
         // Where a job's tasks may go depends on where its others are, in whichever slice. A slice
         // that is not known here came from one that is, whose part was written with it.
-        for (Slice other : slices.of(s.job())) {
+        for (Slice other : slices.inShard(s.job())) {
           if (other != s) {
             batch.condition(other.key());
             keys.add(other.key());
@@ -525,37 +536,44 @@
         }
       }
     }
-    for (Map.Entry<Slice, BitSet> claim : s.claims.entrySet()) {
+    for (Map.Entry<Slice, BitSet> claim : s.pendingClaims().entrySet()) {
       Slice from = claim.getKey();
-      batch.put(from.key(), from.job(), from.record(without(from.assigned, claim.getValue())));
+      batch.put(from.key(), from.job(), from.encode(without(from.assigned(), claim.getValue())));
       keys.add(from.key());
     }
     batch.slices.add(
         new SliceSnapshot(
-            s, key, s.version, (BitSet) s.done.clone(), live, closed, Map.copyOf(s.claims), keys));
-  }
-
-  private void finished(Outcome outcome) {
-    RecordBatch batch = inFlight;
-    switch (outcome.result()) {
-      case DONE -> {
+            s,
+            key,
+            s.version(),
+            (BitSet) s.done().clone(),
+            live,
+            closed,
+            Map.copyOf(s.pendingClaims()),
+            keys));
+  }
+
+  private void finished(CommitOutcome outcome) {
+    TransactionBatch batch = inFlight;
+    switch (outcome.status()) {
+      case COMMITTED -> {
         inFlight = null;
         shrunk = Math.min(1, shrunk * 2);
-        batch.packed.forEach(slices::wrote);
+        batch.segments.forEach(slices::onSegmentWritten);
         batch.slices.forEach(this::saved);
-        batch.extras.forEach(e -> e.then().accept(true));
-        batch.edits.forEach(e -> e.then().accept(true));
-        batch.packed.keySet().forEach(this::sync);
+        batch.keyMutations.forEach(e -> e.onOutcome().accept(true));
+        batch.fieldMutations.forEach(e -> e.onOutcome().accept(true));
+        batch.segments.keySet().forEach(this::refreshSegment);
       }
       case CONFLICT -> {
-        LOG.info("records changed elsewhere: {}", outcome.failed());
+        LOG.info("records changed elsewhere: {}", outcome.conflictingKeys());
         waiting = true;
         inFlight = null;
-        stateStore.whenAt(
-            outcome.epoch(),
+        stateStore.whenRevisionReached(
+            outcome.revision(),
             () -> {
               waiting = false;
-              conflict(batch, outcome.failed());
+              conflict(batch, outcome.conflictingKeys());
               afterCommit.run();
             });
         return;
@@ -566,45 +584,45 @@
         inFlight = null;
         TreeSet<Integer> shards = new TreeSet<>();
         batch.slices.forEach(c -> shards.add(c.slice().shard()));
-        batch.extras.forEach(e -> shards.add(e.shard()));
-        batch.edits.forEach(e -> shards.add(e.shard()));
+        batch.keyMutations.forEach(e -> shards.add(e.shard()));
+        batch.fieldMutations.forEach(e -> shards.add(e.shard()));
         LOG.info("a transaction for shards {} got no answer", shards);
-        shards.forEach(membership::unclear);
-        extras.addAll(batch.extras);
-        edits.addAll(batch.edits);
-        batch.packed.keySet().forEach(this::sync);
+        shards.forEach(membership::markInDoubt);
+        keyMutations.addAll(batch.keyMutations);
+        fieldMutations.addAll(batch.fieldMutations);
+        batch.segments.keySet().forEach(this::refreshSegment);
       }
       default -> {
-        if (outcome.result() == StateStore.Result.BAD) {
+        if (outcome.status() == StateStore.CommitStatus.REJECTED) {
           // Too large in some way: never repeated as it is.
-          shrunk = Math.max(LEAST_SHRUNK, shrunk / 2);
+          shrunk = Math.max(MIN_SHRUNK, shrunk / 2);
         }
         inFlight = null;
         nextMicros = nowMicros + PAUSE_MICROS;
-        extras.addAll(batch.extras);
-        edits.addAll(batch.edits);
-        batch.packed.keySet().forEach(this::sync);
+        keyMutations.addAll(batch.keyMutations);
+        fieldMutations.addAll(batch.fieldMutations);
+        batch.segments.keySet().forEach(this::refreshSegment);
       }
     }
     afterCommit.run();
   }
 
   /** Drops what was decided on keys that have changed; the rest of the batch goes again. */
-  private void conflict(RecordBatch batch, List<String> failed) {
-    batch.packed.keySet().forEach(this::sync);
+  private void conflict(TransactionBatch batch, List<String> failed) {
+    batch.segments.keySet().forEach(this::refreshSegment);
     for (SliceSnapshot c : batch.slices) {
       if (failed.stream().anyMatch(c.keys()::contains) && dirty.contains(c.slice())) {
         reload(c.slice());
       }
     }
-    for (KeyChange e : batch.extras) {
+    for (KeyMutation e : batch.keyMutations) {
       if (failed.stream().anyMatch(e.conditions()::containsKey)) {
-        e.then().accept(false);
+        e.onOutcome().accept(false);
       } else {
-        extras.add(e);
+        keyMutations.add(e);
       }
     }
-    edits.addAll(batch.edits);
+    fieldMutations.addAll(batch.fieldMutations);
   }
 
   private void saved(SliceSnapshot c) {
@@ -615,43 +633,42 @@
       takeIn(slices.load(s.shard(), s.job(), jobs.active(s.job())));
       return;
     }
-    s.recordedKey = c.key();
-    s.savedDone = c.done();
+    s.markStored(c.key(), c.done());
     for (Attempt a : c.live()) {
-      if (!a.committed) {
-        a.committed = true;
+      if (!a.committed()) {
+        a.markCommitted();
         tracer.committed(a.traceId(), a.host(), s.shard(), membership.term(s.shard()));
         LOG.info("start {} shard {} term {}", a, s.shard(), membership.term(s.shard()));
       }
     }
-    c.closed().forEach(slices::remove);
+    c.closed().forEach(slices::removeAttempt);
     c.claims()
         .forEach(
             (from, tasks) -> {
-              s.claims.remove(from);
+              s.pendingClaims().remove(from);
               slices.load(from.shard(), from.job(), jobs.active(from.job()));
             });
-    if (s.version == c.version()) {
+    if (s.version() == c.version()) {
       dirty.remove(s);
-      s.dirtySinceMicros = 0;
+      s.markClean();
     }
-    if (!slices.data(s.key()).containsKey(s.job())) {
+    if (!slices.segment(s.key()).containsKey(s.job())) {
       dirty.remove(s);
       slices.load(s.shard(), s.job(), jobs.active(s.job()));
     }
   }
 
   /** Takes in what has changed in a part, unless it is being written: then once that has ended. */
-  void sync(String key) {
-    boolean machines = !key.startsWith(Slice.KEYS);
-    if (machines || (inFlight != null && inFlight.packed.containsKey(key))) {
+  public void refreshSegment(String key) {
+    boolean machines = !key.startsWith(SegmentLayout.KEY_PREFIX);
+    if (machines || (inFlight != null && inFlight.segments.containsKey(key))) {
       return;
     }
-    slices.sync(
+    slices.detectChanges(
         key,
         (part, shard, id) -> {
           Slice s = slices.get(shard, id);
-          if (s != null && membership.owned().contains(shard)) {
+          if (s != null && membership.ownedShards().contains(shard)) {
             reload(s);
           } else {
             takeIn(slices.load(shard, id, jobs.active(id)));
@@ -667,35 +684,35 @@
 
   /** Writes what a slice just read has to write: ends that were seen, or that its job is over. */
   private void takeIn(Slice now) {
-    if (now != null && membership.owned().contains(now.shard())) {
-      boolean ended = now.out.values().stream().anyMatch(a -> a.closed);
-      if (ended || (jobs.active(now.job()) == null && now.out.isEmpty())) {
-        for (Attempt a : now.out.values()) {
-          if (a.closed && a.finished) {
-            now.finish(a.task(), jobs.active(now.job()));
+    if (now != null && membership.ownedShards().contains(now.shard())) {
+      boolean ended = now.attemptsByTask().values().stream().anyMatch(a -> a.closed());
+      if (ended || (jobs.active(now.job()) == null && now.attemptsByTask().isEmpty())) {
+        for (Attempt a : now.attemptsByTask().values()) {
+          if (a.closed() && a.succeeded()) {
+            now.markDone(a.task(), jobs.active(now.job()));
           }
         }
-        changed(now);
+        markDirty(now);
       }
     }
   }
 
   /** A shard has become ours, or its unclear commits have been settled. */
-  public void gained(int shard) {
-    for (String key : List.copyOf(stateStore.under(Slice.prefix(shard)).keySet())) {
-      sync(key);
+  public void onAcquired(int shard) {
+    for (String key : List.copyOf(stateStore.withPrefix(SegmentLayout.keyPrefix(shard)).keySet())) {
+      refreshSegment(key);
     }
-    for (Slice s : List.copyOf(slices.of(shard))) {
+    for (Slice s : List.copyOf(slices.inShard(shard))) {
       reload(s);
     }
   }
 
   /** A shard has ceased to be ours: its slices are what their records say. */
-  public void lost(int shard) {
+  public void onReleased(int shard) {
     dirty.removeIf(s -> s.shard() == shard);
     slices.forgetAttempts(shard);
-    tracer.lost(shard);
-    for (Slice s : List.copyOf(slices.of(shard))) {
+    tracer.shardReleased(shard);
+    for (Slice s : List.copyOf(slices.inShard(shard))) {
       slices.load(shard, s.job(), jobs.active(s.job()));
     }
   }
--- a/src/main/java/gladeknot/connectivity/Authority.java
+++ b/src/main/java/gladeknot/connectivity/Authority.java
@@ -1,6 +1,6 @@
 package gladeknot.connectivity;
 
-/** Decides what may be done for a shard now, by {@link OrderKind}'s table. */
+/** Decides what may be done for a shard now, by {@link ControlAction}'s table. */
 public final class Authority {
   /** What leases, transactions and the copy say of a shard. */
   public interface ShardFacts {
@@ -55,7 +55,7 @@
   }
 
   /** Whether an order of this kind may be given for a shard. */
-  public boolean permits(OrderKind kind, int shard) {
+  public boolean permits(ControlAction kind, int shard) {
     for (Requirement requirement : kind.requirements()) {
       if (!holds(requirement, shard)) {
         return false;
--- a/src/main/java/gladeknot/connectivity/AuthorityLevel.java
+++ b/src/main/java/gladeknot/connectivity/AuthorityLevel.java
@@ -1,6 +1,8 @@
 package gladeknot.connectivity;
 
-/** A shard's authority in one word, for operators; what is allowed is {@link OrderKind}'s table. */
+/**
+ * A shard's authority in one word, for operators; what is allowed is {@link ControlAction}'s table.
+ */
 public enum AuthorityLevel {
   /** Every order may be given. */
   FULL("full"),
--- a/src/main/java/gladeknot/connectivity/HomeCanary.java
+++ b/src/main/java/gladeknot/connectivity/CanaryProbe.java
@@ -8,7 +8,7 @@
  * goes back there: one worker is sent to the home, which sends it back since it does not own the
  * shard. Back sooner than a worker waits for an answer, it has got through in both directions.
  */
-final class HomeCanary {
+final class CanaryProbe {
   /** A worker waits so long for an answer; who is back by then has had one. */
   private static final long ANSWER_WAIT_MICROS = 4_000_000;
 
--- a/src/main/java/gladeknot/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/gladeknot/connectivity/ConnectivityMonitor.java
@@ -2,7 +2,7 @@
 
 import gladeknot.connectivity.OwnerSelector.Candidate;
 import gladeknot.connectivity.ShardView.WorkerAddress;
-import gladeknot.http.Outbox;
+import gladeknot.outbox.Outbox;
 import gladeknot.peer.PeerMessage;
 import gladeknot.peer.PeerReach;
 import gladeknot.peer.PeerReach.ShardContact;
@@ -23,7 +23,8 @@
  * Follows this controller's links, tells the others what it reaches, and advises by that who should
  * own a shard and whether new orders may be given. The feature {@code partial-cuts}.
  */
-public final class ConnectivityMonitor implements Authority.StateLink, OwnerAdvisor, WorkerTraffic {
+public final class ConnectivityMonitor
+    implements Authority.StateLink, FailoverAdvisor, HeartbeatObserver {
   private static final long UPDATE_MICROS = 100_000;
 
   /** Between two counts of the shards' workers. */
@@ -36,7 +37,7 @@
   private final ServiceLinkObserver services;
   private final WorkerLinkObserver workers;
   private final PeerLinkObserver peers;
-  private final HomeCanary canary = new HomeCanary();
+  private final CanaryProbe canary = new CanaryProbe();
   private final AuthorityLog log = new AuthorityLog();
   private final Map<Integer, Map<String, Integer>> zonesOfShards = new HashMap<>();
   private final Map<Integer, Long> keepUntilMicros = new HashMap<>();
@@ -53,7 +54,7 @@
   private boolean begun;
 
   /** A shard whose home fails again and again is kept twice as long each time, so often. */
-  private static final int MOST_DOUBLINGS = 3;
+  private static final int MAX_DOUBLINGS = 3;
 
   /** A monitor that has seen nothing yet; {@link #attach} completes it. */
   public ConnectivityMonitor(Settings settings, PartialCuts feature, Outbox outbox) {
@@ -75,16 +76,16 @@
   }
 
   @Override
-  public void reported(Arrival arrival) {
-    workers.reported(arrival);
-    if (arrival.ours() && canary.failed(arrival.shard(), arrival.host())) {
+  public void onHeartbeat(Arrival arrival) {
+    workers.onHeartbeat(arrival);
+    if (arrival.owned() && canary.failed(arrival.shard(), arrival.host())) {
       keepLonger(arrival.shard());
     }
   }
 
   @Override
-  public void answered(String host) {
-    workers.answered(host);
+  public void onAnswered(String host) {
+    workers.onAnswered(host);
   }
 
   @Override
@@ -119,7 +120,7 @@
     if (failed >= 0) {
       keepLonger(failed);
     }
-    for (int shard = 0; shard < shards.shards(); shard++) {
+    for (int shard = 0; shard < shards.shardCount(); shard++) {
       log.look(shard, authority, wall);
     }
     boolean offered = feature.handover().enabled() && offers.tick(now, this::chooseTaker);
@@ -135,8 +136,8 @@
   private void countWorkers() {
     Set<String> ours = new HashSet<>();
     zonesOfShards.clear();
-    for (int shard = 0; shard < shards.shards(); shard++) {
-      boolean own = shards.ours(shard);
+    for (int shard = 0; shard < shards.shardCount(); shard++) {
+      boolean own = shards.isOwned(shard);
       Map<String, Integer> zones = new HashMap<>();
       for (WorkerAddress worker : shards.workers(shard)) {
         zones.merge(worker.zone(), 1, Integer::sum);
@@ -154,7 +155,7 @@
   }
 
   /** A shard has become ours; who got it from an owner that is alive keeps it for a while. */
-  public void gained(int shard) {
+  public void onAcquired(int shard) {
     String from = offers.ownerBefore(shard);
     boolean handedOver = from != null && peers.freshReach(from) != null;
     keepUntilMicros.remove(shard);
@@ -165,19 +166,19 @@
 
   /** Keeps a shard from going home for a while, twice as long each time. */
   private void keepLonger(int shard) {
-    int times = Math.min(MOST_DOUBLINGS, offers.failedAtHome(shard));
+    int times = Math.min(MAX_DOUBLINGS, offers.failedAtHome(shard));
     keepUntilMicros.put(shard, nowMicros + (feature.handover().keepMicros() << times));
   }
 
   /** A shard has ceased to be ours. */
-  public void lost(int shard) {
+  public void onReleased(int shard) {
     workers.lost(shard);
     canary.forget(shard);
     unreachedSince.remove(shard);
   }
 
   /** Takes in what another controller tells. */
-  public void message(PeerMessage message) {
+  public void onPeerMessage(PeerMessage message) {
     if (message.reach().isEmpty() || !isMember(message.from())) {
       return;
     }
@@ -205,7 +206,7 @@
             contacts(),
             offers.offers(),
             offers.accepts());
-    outbox.message(PeerMessage.ofReach(settings.node(), reach));
+    outbox.sendToPeers(PeerMessage.ofReach(settings.node(), reach));
   }
 
   private List<ZoneReach> zones() {
@@ -216,14 +217,14 @@
       }
     }
     return percents.entrySet().stream()
-        .limit(PeerReach.MOST_ENTRIES)
+        .limit(PeerReach.MAX_ENTRIES)
         .map(e -> new ZoneReach(e.getKey(), e.getValue()))
         .toList();
   }
 
   private List<ShardContact> contacts() {
     return workers.strays().entrySet().stream()
-        .limit(PeerReach.MOST_ENTRIES)
+        .limit(PeerReach.MAX_ENTRIES)
         .map(e -> new ShardContact(e.getKey(), e.getValue()))
         .toList();
   }
@@ -259,7 +260,7 @@
   }
 
   @Override
-  public String heir(int shard) {
+  public String preferredOwner(int shard) {
     if (!feature.handover().enabled()) {
       return null;
     }
@@ -293,13 +294,13 @@
   }
 
   @Override
-  public boolean yieldedToUs(int shard, long incarnation, long term) {
+  public boolean yieldedToThisNode(int shard, long incarnation, long term) {
     return feature.handover().enabled() && offers.yieldedToUs(shard, incarnation, term);
   }
 
   /** Who does not reach a shard's workers lets those who do go first. */
   @Override
-  public long takeDelayMicros(int shard) {
+  public long failoverDelayMicros(int shard) {
     boolean reached = ownScore(shard, workersByZone(shard)) >= ReachScore.UNKNOWN;
     return reached ? 0 : 2 * feature.links().heartbeatMicros();
   }
--- a/src/main/java/gladeknot/connectivity/OrderKind.java
+++ b/src/main/java/gladeknot/connectivity/ControlAction.java
@@ -13,35 +13,35 @@
  * <p>What keeps running tasks alive and what ends cancelled ones depends on leases alone; the state
  * of links only ever takes new orders away.
  */
-public enum OrderKind {
+public enum ControlAction {
   /** Sending a run that is committed. */
-  START(LEASE, FRESH_COPY, STATE_LINK),
+  SEND_RUN(LEASE, FRESH_COPY, STATE_LINK),
   /** Deciding starts and claims, and committing them. */
-  DECIDE(LEASE, SETTLED, LOADED, STATE_LINK),
+  SCHEDULE(LEASE, SETTLED, LOADED, STATE_LINK),
   /** Committing what has happened: ends, lapses, final states, records that move. */
-  RECORD(LEASE, SETTLED, LOADED),
+  COMMIT(LEASE, SETTLED, LOADED),
   /** Stopping a task for another's sake or to drain a machine. */
   KILL(LEASE),
   /** Stopping a task whose job is over: wanted whoever acts for the shard. */
-  KILL_OVERDUE(),
+  KILL_CANCELLED(),
   /** Removing an ended task whose end is committed. */
-  REAP(LEASE),
+  PURGE(LEASE),
   /** Answering a report, which renews the worker's lease. */
   RENEW_LEASE(LEASE),
   /** Renting machines and entering them. */
-  RENT(LEASE, SETTLED, LOADED, STATE_LINK),
+  SCALE_OUT(LEASE, SETTLED, LOADED, STATE_LINK),
   /** Giving machines back, or lending them to another shard. */
-  RELEASE(LEASE, SETTLED, LOADED, STATE_LINK),
+  SCALE_IN(LEASE, SETTLED, LOADED, STATE_LINK),
   /** Changing a team's budgets. */
-  CHANGE_BUDGET(LEASE, SETTLED, LOADED, STATE_LINK),
+  CHANGE_QUOTA(LEASE, SETTLED, LOADED, STATE_LINK),
   /** Taking a shard, giving it away, or making its key's stamp new. */
-  MOVE_SHARD(STATE_LINK),
+  TRANSFER_SHARD(STATE_LINK),
   /** Answers to users that are not final; final ones need nothing. */
   ANSWER_USER(STATE_LINK);
 
   private final Requirement[] requirements;
 
-  OrderKind(Requirement... requirements) {
+  ControlAction(Requirement... requirements) {
     this.requirements = requirements;
   }
 
--- a/src/main/java/gladeknot/connectivity/OwnerAdvisor.java
+++ b/src/main/java/gladeknot/connectivity/FailoverAdvisor.java
@@ -1,12 +1,12 @@
 package gladeknot.connectivity;
 
 /** Advises who should own a shard, by what the controllers reach. */
-public interface OwnerAdvisor {
+public interface FailoverAdvisor {
   /** Without knowledge of links: the rules by liveness and home alone. */
-  OwnerAdvisor NONE =
-      new OwnerAdvisor() {
+  FailoverAdvisor NONE =
+      new FailoverAdvisor() {
         @Override
-        public String heir(int shard) {
+        public String preferredOwner(int shard) {
           return null;
         }
 
@@ -16,12 +16,12 @@
         }
 
         @Override
-        public boolean yieldedToUs(int shard, long incarnation, long term) {
+        public boolean yieldedToThisNode(int shard, long incarnation, long term) {
           return false;
         }
 
         @Override
-        public long takeDelayMicros(int shard) {
+        public long failoverDelayMicros(int shard) {
           return 0;
         }
 
@@ -32,7 +32,7 @@
       };
 
   /** Who should be given a shard of ours whose workers we don't reach; null if nobody is better. */
-  String heir(int shard);
+  String preferredOwner(int shard);
 
   /** Whether a shard that is ours may go back to its home controller. */
   boolean mayReturnHome(int shard, String home);
@@ -41,10 +41,10 @@
    * Whether the owner of a shard, in the life that its key names, does nothing more under a term,
    * and has named us to take it.
    */
-  boolean yieldedToUs(int shard, long incarnation, long term);
+  boolean yieldedToThisNode(int shard, long incarnation, long term);
 
   /** How much longer we wait before taking a shard whose owner's lease has lapsed. */
-  long takeDelayMicros(int shard);
+  long failoverDelayMicros(int shard);
 
   /**
    * Whether a state lease whose renewals are not answered is not to be renewed any more: where
--- a/src/main/java/gladeknot/connectivity/WorkerTraffic.java
+++ b/src/main/java/gladeknot/connectivity/HeartbeatObserver.java
@@ -1,15 +1,15 @@
 package gladeknot.connectivity;
 
 /** Hears of the workers' reports and of the answers to them. */
-public interface WorkerTraffic {
+public interface HeartbeatObserver {
   /** Hears of nothing. */
-  WorkerTraffic NONE =
-      new WorkerTraffic() {
+  HeartbeatObserver NONE =
+      new HeartbeatObserver() {
         @Override
-        public void reported(Arrival arrival) {}
+        public void onHeartbeat(Arrival arrival) {}
 
         @Override
-        public void answered(String host) {}
+        public void onAnswered(String host) {}
 
         @Override
         public String redirect(Arrival arrival, boolean idle) {
@@ -18,13 +18,14 @@
       };
 
   /** A report as it came: whose, and whether this controller acts for its shard. */
-  record Arrival(String host, String zone, int shard, boolean ours, long tenure, long tick) {}
+  record Arrival(
+      String host, String zone, int shard, boolean owned, long incarnation, long sequence) {}
 
   /** A report has come that is newer than those before it. */
-  void reported(Arrival arrival);
+  void onHeartbeat(Arrival arrival);
 
   /** A report of a worker of ours is answered with 200. */
-  void answered(String host);
+  void onAnswered(String host);
 
   /**
    * The controller that a worker of ours is sent to instead of an answer, to see whether it gets
--- a/src/main/java/gladeknot/connectivity/LinkTable.java
+++ b/src/main/java/gladeknot/connectivity/LinkTable.java
@@ -14,7 +14,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(LinkTable.class);
 
   /** Beyond the members and services, so many zones are followed; others count as one. */
-  private static final int MOST_LINKS = 4096;
+  private static final int MAX_LINKS = 4096;
 
   /** What is told of one direction of one link. */
   record DirectionState(
@@ -43,7 +43,7 @@
   DirectionHealth health(LinkId link, Direction direction) {
     Map<Direction, DirectionHealth> directions = links.get(link);
     if (directions == null) {
-      if (links.size() >= MOST_LINKS) {
+      if (links.size() >= MAX_LINKS) {
         return new DirectionHealth(limits, damping);
       }
       directions = new EnumMap<>(Direction.class);
--- a/src/main/java/gladeknot/connectivity/PeerLinkObserver.java
+++ b/src/main/java/gladeknot/connectivity/PeerLinkObserver.java
@@ -68,13 +68,13 @@
       if (fresh(entry.getValue())) {
         for (Heard row : entry.getValue().reach.heard()) {
           boolean own = row.observer().equals(entry.getKey());
-          if (own && rows.size() < PeerReach.MOST_ENTRIES) {
+          if (own && rows.size() < PeerReach.MAX_ENTRIES) {
             rows.add(row);
           }
         }
       }
     }
-    return rows.subList(0, Math.min(rows.size(), PeerReach.MOST_ENTRIES));
+    return rows.subList(0, Math.min(rows.size(), PeerReach.MAX_ENTRIES));
   }
 
   /** Takes in a record; returns whether it is newer than those before it. */
--- a/src/main/java/gladeknot/connectivity/ServiceLinkObserver.java
+++ b/src/main/java/gladeknot/connectivity/ServiceLinkObserver.java
@@ -1,7 +1,7 @@
 package gladeknot.connectivity;
 
-import gladeknot.http.CallObserver;
-import gladeknot.http.Outbox;
+import gladeknot.outbox.CallObserver;
+import gladeknot.outbox.Outbox;
 import gladeknot.settings.Settings;
 import java.util.HashMap;
 import java.util.Map;
@@ -25,8 +25,8 @@
 
   ServiceLinkObserver(Settings settings, LinkTable links) {
     this.links = links;
-    this.stateAddress = settings.state();
-    this.cloudAddress = settings.cloud();
+    this.stateAddress = settings.stateAddress();
+    this.cloudAddress = settings.cloudAddress();
   }
 
   void now(long micros) {
--- a/src/main/java/gladeknot/connectivity/ShardOffers.java
+++ b/src/main/java/gladeknot/connectivity/ShardOffers.java
@@ -74,9 +74,9 @@
   boolean tick(long now, Chooser chooser) {
     nowMicros = now;
     boolean changed = false;
-    for (int shard = 0; shard < shards.shards(); shard++) {
+    for (int shard = 0; shard < shards.shardCount(); shard++) {
       followTerm(shard);
-      if (shards.ours(shard)) {
+      if (shards.isOwned(shard)) {
         changed |= offer(shard, chooser);
       } else {
         offers.remove(shard);
@@ -175,7 +175,7 @@
             offers.put(
                 shard,
                 new Offer(
-                    shards.incarnation(shard), shards.mostTerm(shard), node, nowMicros, false)));
+                    shards.incarnation(shard), shards.highestTerm(shard), node, nowMicros, false)));
     return to.isPresent();
   }
 
@@ -210,7 +210,7 @@
 
   private boolean mayTake(String from, ShardOffer offer) {
     int shard = offer.shard();
-    boolean known = shard < shards.shards();
+    boolean known = shard < shards.shardCount();
     return known
         && from.equals(shards.owner(shard))
         && shards.incarnation(shard) == offer.incarnation()
@@ -226,7 +226,7 @@
             && accept.from().equals(self)
             && offer.to().equals(from)
             && offer.term() == accept.term()
-            && shards.ours(accept.shard());
+            && shards.isOwned(accept.shard());
     if (!asked) {
       return false;
     }
@@ -255,7 +255,7 @@
             told.add(
                 new ShardOffer(
                     shard, offer.incarnation(), offer.term(), offer.to(), offer.yielded())));
-    return told.subList(0, Math.min(told.size(), PeerReach.MOST_ENTRIES));
+    return told.subList(0, Math.min(told.size(), PeerReach.MAX_ENTRIES));
   }
 
   /** What is accepted, for the next record. */
@@ -263,6 +263,6 @@
     List<ShardAccept> told = new ArrayList<>();
     received.forEach(
         (shard, offer) -> told.add(new ShardAccept(shard, offer.term(), offer.from())));
-    return told.subList(0, Math.min(told.size(), PeerReach.MOST_ENTRIES));
+    return told.subList(0, Math.min(told.size(), PeerReach.MAX_ENTRIES));
   }
 }
--- a/src/main/java/gladeknot/connectivity/ShardView.java
+++ b/src/main/java/gladeknot/connectivity/ShardView.java
@@ -7,7 +7,7 @@
   /** A worker as far as it is needed to reach it; the endpoint may be unknown, and null. */
   record WorkerAddress(String host, String zone, String endpoint) {}
 
-  int shards();
+  int shardCount();
 
   /** The controller that a shard belongs to while all is well. */
   String home(int shard);
@@ -25,13 +25,13 @@
    * The highest term that a shard of ours may have: a write by which we took it may have been
    * carried out, and its answer lost.
    */
-  long mostTerm(int shard);
+  long highestTerm(int shard);
 
   /** Whether a shard is ours in this life of the process. */
-  boolean ours(int shard);
+  boolean isOwned(int shard);
 
   /**
-   * Stops everything that is done for a shard of ours, under every term up to {@link #mostTerm},
+   * Stops everything that is done for a shard of ours, under every term up to {@link #highestTerm},
    * until its key has changed.
    */
   void yield(int shard);
--- a/src/main/java/gladeknot/connectivity/StatusReport.java
+++ b/src/main/java/gladeknot/connectivity/StatusReport.java
@@ -1,6 +1,6 @@
 package gladeknot.connectivity;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import gladeknot.peer.PeerReach;
 import gladeknot.peer.PeerReach.ShardOffer;
 import gladeknot.settings.Settings;
@@ -93,7 +93,7 @@
 
   private List<Object> shards(List<ShardOffer> offers) {
     List<Object> told = new ArrayList<>();
-    for (int shard = 0; shard < shards.shards(); shard++) {
+    for (int shard = 0; shard < shards.shardCount(); shard++) {
       int number = shard;
       String offeredTo =
           offers.stream()
@@ -114,9 +114,9 @@
               "workers",
               shards.workers(shard).size(),
               "authority",
-              shards.ours(shard) ? authority.level(shard).word() : null,
+              shards.isOwned(shard) ? authority.level(shard).word() : null,
               "cause",
-              shards.ours(shard) ? authority.cause(shard) : "",
+              shards.isOwned(shard) ? authority.cause(shard) : "",
               "offeredTo",
               offeredTo));
     }
--- a/src/main/java/gladeknot/connectivity/WorkerLinkObserver.java
+++ b/src/main/java/gladeknot/connectivity/WorkerLinkObserver.java
@@ -15,7 +15,7 @@
  * after it has reported elsewhere has not. A zone's link fails in a direction when half of its
  * workers do.
  */
-final class WorkerLinkObserver implements WorkerTraffic {
+final class WorkerLinkObserver implements HeartbeatObserver {
   /** A worker waits so long for an answer before it goes to the next controller. */
   private static final long ANSWER_WAIT_MICROS = 4_000_000;
 
@@ -75,13 +75,13 @@
 
   WorkerLinkObserver(Settings settings, LinkTable links) {
     this.links = links;
-    this.latestReportMicros = (long) (settings.workers().reportMicros() * LATEST_REPORT);
+    this.latestReportMicros = (long) (settings.workers().heartbeatMicros() * LATEST_REPORT);
   }
 
   @Override
-  public void reported(Arrival arrival) {
+  public void onHeartbeat(Arrival arrival) {
     Contact contact = contacts.computeIfAbsent(arrival.host(), h -> new Contact());
-    if (contact.ours && arrival.ours()) {
+    if (contact.ours && arrival.owned()) {
       judgeAnswer(contact, arrival);
     } else {
       contact.deafSinceMicros = NONE;
@@ -90,9 +90,9 @@
     }
     contact.zone = arrival.zone();
     contact.shard = arrival.shard();
-    contact.ours = arrival.ours();
-    contact.tenure = arrival.tenure();
-    contact.tick = arrival.tick();
+    contact.ours = arrival.owned();
+    contact.tenure = arrival.incarnation();
+    contact.tick = arrival.sequence();
     contact.reportMicros = nowMicros;
   }
 
@@ -102,7 +102,8 @@
       return;
     }
     boolean prompt = nowMicros - contact.reportMicros < ANSWER_WAIT_MICROS;
-    boolean elsewhere = arrival.tick() > contact.tick + 1 || arrival.tenure() > contact.tenure;
+    boolean elsewhere =
+        arrival.sequence() > contact.tick + 1 || arrival.incarnation() > contact.tenure;
     if (prompt || !elsewhere) {
       contact.deafSinceMicros = NONE;
       contact.heardMicros = contact.reportMicros;
@@ -112,7 +113,7 @@
   }
 
   @Override
-  public void answered(String host) {
+  public void onAnswered(String host) {
     Contact contact = contacts.get(host);
     if (contact != null) {
       contact.answeredMicros = nowMicros;
--- a/src/main/java/gladeknot/fleet/Capacity.java
+++ b/src/main/java/gladeknot/fleet/Capacity.java
@@ -1,6 +1,7 @@
 package gladeknot.fleet;
 
 import gladeknot.jobs.JobSpec;
+import gladeknot.workers.MachineType;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -42,7 +43,7 @@
     }
 
     private boolean fits(JobSpec spec) {
-      return spec.allows(type.name(), zone, spot)
+      return spec.allowsMachine(type.name(), zone, spot)
           && cpus >= spec.cpus()
           && gpus >= spec.gpus()
           && memory >= spec.memory();
@@ -92,8 +93,8 @@
           spec.cpus(),
           spec.gpus(),
           spec.memory(),
-          spec.types(),
-          spec.spot(),
+          spec.machineTypes(),
+          spec.spotAllowed(),
           spec.shape() == JobSpec.Shape.SERVICE);
     }
   }
@@ -138,7 +139,7 @@
     int best = boxes.size();
     for (String zone : zones) {
       boolean allowed = spec.zone() == null || spec.zone().equals(zone);
-      if (allowed && spec.zoneOpen(zone, inZone)) {
+      if (allowed && spec.allowsZone(zone, inZone)) {
         best = Math.min(best, first(spec, places, zone));
       }
     }
@@ -165,7 +166,7 @@
   /** Puts tasks in one machine; returns how many it took. */
   int fill(Box box, JobSpec spec, Map<String, Integer> inZone, int count) {
     int n = 0;
-    while (n < count && spec.zoneOpen(box.zone, inZone) && box.take(spec)) {
+    while (n < count && spec.allowsZone(box.zone, inZone) && box.take(spec)) {
       inZone.merge(box.zone, 1, Integer::sum);
       n++;
     }
--- a/src/main/java/gladeknot/fleet/Demand.java
+++ b/src/main/java/gladeknot/fleet/Demand.java
@@ -2,7 +2,7 @@
 
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobSpec;
-import gladeknot.placement.Estimates;
+import gladeknot.tasks.RuntimeEstimates;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -31,7 +31,7 @@
   }
 
   /** Each class's load over a window that ends now. */
-  Map<String, Load> loads(long wallMicros, long windowMicros, Estimates estimates) {
+  Map<String, Load> loads(long wallMicros, long windowMicros, RuntimeEstimates estimates) {
     arrivals.removeIf(a -> a.atMicros() < wallMicros - windowMicros);
     Map<String, Load> loads = new HashMap<>();
     double windowS = windowMicros / 1e6;
--- a/src/main/java/gladeknot/fleet/Fleet.java
+++ b/src/main/java/gladeknot/fleet/Fleet.java
@@ -1,21 +1,22 @@
 package gladeknot.fleet;
 
-import gladeknot.connectivity.OrderKind;
-import gladeknot.http.Json;
-import gladeknot.http.Outbox;
+import gladeknot.commit.TransactionCommitter;
+import gladeknot.connectivity.ControlAction;
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobSpec;
+import gladeknot.json.Json;
+import gladeknot.lifecycle.TaskLifecycle;
 import gladeknot.membership.Membership;
-import gladeknot.placement.Attempt;
-import gladeknot.placement.Placer;
-import gladeknot.placement.RecordWriter;
-import gladeknot.placement.Scheduler;
-import gladeknot.placement.Slice;
+import gladeknot.outbox.Outbox;
 import gladeknot.policy.Policy;
+import gladeknot.scheduling.Scheduler;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
 import gladeknot.state.TokenBucket;
-import gladeknot.workers.Report;
+import gladeknot.tasks.Attempt;
+import gladeknot.tasks.Slice;
+import gladeknot.workers.Heartbeat;
+import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
 import java.util.ArrayList;
@@ -39,13 +40,13 @@
   private static final long LIST_MICROS = 20_000_000;
 
   /** The most that the protocol lets one request rent. */
-  private static final int MOST_AT_ONCE = 50;
+  private static final int MAX_AT_ONCE = 50;
 
   /**
    * How many waiting tasks one look at what waits goes through at least, and as many times as there
    * are machines: what a look costs is bounded, and every machine can get a task that fills it.
    */
-  private static final int LEAST_FORECAST = 3000;
+  private static final int MIN_FORECAST = 3000;
 
   private static final int FORECAST_A_MACHINE = 2;
 
@@ -65,17 +66,18 @@
    */
   private static final double USUAL_FLEET = 180;
 
-  private static final double MOST_SLOWED = 8;
+  private static final double MAX_SLOWED = 8;
 
   /** A rental on its way: its machines count as coming until its answer is known. */
-  private static final class Rental {
+  private static final class ScaleOutRequest {
     private final String name;
-    private final Offers.Offer offer;
+    private final InstanceOfferings.InstanceOffering offer;
     private final int number;
     private final int shard;
     private int tries;
 
-    private Rental(String name, Offers.Offer offer, int number, int shard) {
+    private ScaleOutRequest(
+        String name, InstanceOfferings.InstanceOffering offer, int number, int shard) {
       this.name = name;
       this.offer = offer;
       this.number = number;
@@ -88,18 +90,18 @@
   private final StateStore stateStore;
   private final Membership membership;
   private final WorkerRegistry workers;
-  private final RecordWriter recordWriter;
-  private final Scheduler scheduler;
+  private final TransactionCommitter recordWriter;
+  private final TaskLifecycle scheduler;
   private final Outbox outbox;
   private final TokenBucket tokens;
-  private Placer placer;
-  private final Offers offers = new Offers();
-  private final List<Rental> rentals = new ArrayList<>();
+  private Scheduler placer;
+  private final InstanceOfferings offers = new InstanceOfferings();
+  private final List<ScaleOutRequest> rentals = new ArrayList<>();
   private final Set<String> adopting = new HashSet<>();
   private final Map<String, Long> strangers = new HashMap<>();
   private final Demand demand = new Demand();
 
-  private final MachineReleases releases;
+  private final ScaleIn releases;
 
   /** Machines by zone. */
   private final Map<String, Integer> inZones = new HashMap<>();
@@ -123,8 +125,8 @@
       StateStore stateStore,
       Membership membership,
       WorkerRegistry workers,
-      RecordWriter recordWriter,
-      Scheduler scheduler,
+      TransactionCommitter recordWriter,
+      TaskLifecycle scheduler,
       Outbox outbox) {
     this.settings = settings;
     this.policy = policy;
@@ -137,7 +139,7 @@
     double rps = settings.cloudLimits().rps() / settings.nodes().size();
     this.tokens = new TokenBucket(rps * 0.9, rps * 1.8);
     this.releases =
-        new MachineReleases(
+        new ScaleIn(
             settings,
             policy,
             membership,
@@ -149,7 +151,7 @@
             offers::type);
   }
 
-  public void setPlacer(Placer placer) {
+  public void setPlacer(Scheduler placer) {
     this.placer = placer;
   }
 
@@ -181,12 +183,12 @@
       return;
     }
     nextStepMicros = now + STEP_MICROS;
-    slower = Math.max(1, Math.min(MOST_SLOWED, workers.all().size() / USUAL_FLEET));
+    slower = Math.max(1, Math.min(MAX_SLOWED, workers.all().size() / USUAL_FLEET));
     countZones();
     releases.step(now, wall);
     if (now >= nextRentMicros) {
       nextRentMicros = now + (long) (STEP_MICROS * slower) - STEP_MICROS / 2;
-      Placer.Queue queue = placer.queue();
+      Scheduler.DemandQueue queue = placer.demandQueue();
       rent(queue);
       lend(queue);
     }
@@ -194,19 +196,19 @@
       nextPlanMicros = now + (long) (PLAN_MICROS * slower);
       plan();
     }
-    if (!listing && now >= nextListMicros && membership.entitled()) {
+    if (!listing && now >= nextListMicros && membership.mayAct()) {
       nextListMicros = now + LIST_MICROS;
       list("");
     }
   }
 
   private void askTypes() {
-    if (!tokens.take(1, 0, nowMicros)) {
+    if (!tokens.tryAcquire(1, 0, nowMicros)) {
       return;
     }
     askingTypes = true;
     outbox.call(
-        settings.cloud(),
+        settings.cloudAddress(),
         "GET",
         "/machine_types",
         null,
@@ -224,42 +226,44 @@
           if (first) {
             LOG.info("machine types: {}", offers.types());
           }
-          scheduler.touch();
+          scheduler.requestScheduling();
         });
   }
 
   /** Rents for our tasks that would start too late on the machines that are there or coming. */
-  private void rent(Placer.Queue queue) {
-    policy.load(workers.all().size(), queue.waiting().stream().mapToInt(Placer.Need::count).sum());
-    int last = queue.waiting().size() - 1;
-    while (last >= 0 && !queue.waiting().get(last).ours()) {
+  private void rent(Scheduler.DemandQueue queue) {
+    policy.load(
+        workers.all().size(),
+        queue.pending().stream().mapToInt(Scheduler.PendingDemand::count).sum());
+    int last = queue.pending().size() - 1;
+    while (last >= 0 && !queue.pending().get(last).owned()) {
       last--;
     }
     if (last < 0 || !offers.anyOpen(nowMicros)) {
       return;
     }
     Forecast forecast = forecast();
-    Map<Offers.Offer, Integer> wanted = new LinkedHashMap<>();
+    Map<InstanceOfferings.InstanceOffering, Integer> wanted = new LinkedHashMap<>();
     int shard = -1;
     int looked = 0;
     int most = mostForecast();
     // What comes after our last need takes nothing from it.
-    for (Placer.Need need : queue.waiting().subList(0, last + 1)) {
+    for (Scheduler.PendingDemand need : queue.pending().subList(0, last + 1)) {
       JobSpec spec = need.job().spec();
       // What may be stopped for a task is no hindrance to it: lower ranks are put in after.
-      forecast.admit(spec.rank());
+      forecast.admit(spec.priority());
       long run = placer.estimates().runMicros(spec);
       long careful = run < Forecast.NEVER ? (long) (run * CAREFUL) : run;
-      int mine = need.ours() ? need.count() : 0;
-      Map<String, Integer> inZone = new HashMap<>(need.inZone());
+      int mine = need.owned() ? need.count() : 0;
+      Map<String, Integer> inZone = new HashMap<>(need.tasksByZone());
       // A gang needs all its room in one shard, and in one zone if its tasks stay together.
       int only = spec.shape() == JobSpec.Shape.GANG && need.count() > 1 ? need.shard() : -1;
-      if (only >= 0 && spec.together() && inZone.isEmpty()) {
+      if (only >= 0 && spec.colocated() && inZone.isEmpty()) {
         long by = nowMicros + policy.micros(Policy.Name.PATIENCE);
         inZone.put(forecast.roomiest(spec, only, by, zonesOffered()), 0);
       }
       Forecast.Search search = forecast.search(spec, only);
-      boolean anywhere = only < 0 && !spec.scatter() && !spec.together();
+      boolean anywhere = only < 0 && !spec.spread() && !spec.colocated();
       int i = 0;
       while (i < need.count() && looked < most) {
         Forecast.Slot slot = need.starved() ? search.fresh(inZone) : search.best(inZone);
@@ -268,7 +272,8 @@
         if (i < mine) {
           long latest = latestStart(need.job(), careful, at);
           if (at > latest) {
-            Offers.Offer offer = choose(spec, inZone, need.count() - i, wanted, latest, at);
+            InstanceOfferings.InstanceOffering offer =
+                choose(spec, inZone, need.count() - i, wanted, latest, at);
             if (offer != null) {
               shard = need.shard();
               wanted.merge(offer, 1, Integer::sum);
@@ -291,7 +296,7 @@
         looked += n;
       }
     }
-    for (Map.Entry<Offers.Offer, Integer> e : wanted.entrySet()) {
+    for (Map.Entry<InstanceOfferings.InstanceOffering, Integer> e : wanted.entrySet()) {
       hire(e.getKey(), e.getValue(), shard);
     }
   }
@@ -299,10 +304,10 @@
   /** How many tasks one look goes through; the machines on their way count as well. */
   private int mostForecast() {
     int machines = workers.all().size();
-    for (Rental rental : rentals) {
+    for (ScaleOutRequest rental : rentals) {
       machines += rental.number;
     }
-    return Math.max(LEAST_FORECAST, FORECAST_A_MACHINE * machines);
+    return Math.max(MIN_FORECAST, FORECAST_A_MACHINE * machines);
   }
 
   /**
@@ -313,17 +318,17 @@
     Capacity capacity = new Capacity();
     for (Worker w : workers.all()) {
       MachineType type = type(w.type());
-      if (type != null && w.entered() && !w.leaving() && w.recallAtMicros() == 0) {
+      if (type != null && w.registered() && !w.terminating() && w.reclaimAtMicros() == 0) {
         capacity.add(new Capacity.Box(w.host(), type, w.zone(), w.spot(), placer.replicas(w)));
       }
     }
-    for (Rental r : rentals) {
+    for (ScaleOutRequest r : rentals) {
       for (int i = 0; i < r.number; i++) {
         capacity.add(new Capacity.Box("", r.offer.type(), r.offer.zone, r.offer.spot, 0));
       }
     }
     capacity.sort();
-    Map<Offers.Offer, Integer> wanted = new LinkedHashMap<>();
+    Map<InstanceOfferings.InstanceOffering, Integer> wanted = new LinkedHashMap<>();
     for (Job job : placer.services()) {
       Map<String, Integer> inZone = new HashMap<>();
       capacity.put(job.spec(), job.tasks(), inZone);
@@ -333,12 +338,12 @@
             demand
                 .loads(wallMicros, policy.micros(Policy.Name.WINDOW), placer.estimates())
                 .values());
-    loads.sort(Comparator.comparing((Demand.Load l) -> l.like().rank()));
+    loads.sort(Comparator.comparing((Demand.Load l) -> l.like().priority()));
     for (Demand.Load load : loads) {
       JobSpec spec = load.like();
       int tasks = (int) Math.ceil(target(load));
       Map<String, Integer> inZone = new HashMap<>();
-      boolean anywhere = !spec.scatter() && !spec.together();
+      boolean anywhere = !spec.spread() && !spec.colocated();
       int first = anywhere ? capacity.put(spec, tasks, new HashMap<>()) : 0;
       int i = first;
       while (i < tasks && i < mostForecast()) {
@@ -349,7 +354,7 @@
           i++;
           continue;
         }
-        Offers.Offer offer =
+        InstanceOfferings.InstanceOffering offer =
             choose(spec, inZone, tasks - i, wanted, Forecast.NEVER, Forecast.NEVER);
         if (offer == null) {
           break;
@@ -367,13 +372,13 @@
     for (Capacity.Box box : capacity.boxes()) {
       Worker w = workers.get(box.host);
       if (w != null) {
-        w.unneeded = !box.used();
+        w.setSurplus(!box.used());
       }
     }
     // One shard's owner rents ahead at a time, in turns by the time of day.
-    int shard = (int) (wallMicros / TURN_MICROS % membership.shards());
-    if (membership.permits(OrderKind.RENT, shard)) {
-      for (Map.Entry<Offers.Offer, Integer> e : wanted.entrySet()) {
+    int shard = (int) (wallMicros / TURN_MICROS % membership.shardCount());
+    if (membership.permits(ControlAction.SCALE_OUT, shard)) {
+      for (Map.Entry<InstanceOfferings.InstanceOffering, Integer> e : wanted.entrySet()) {
         hire(e.getKey(), e.getValue(), shard);
       }
     }
@@ -395,7 +400,7 @@
       return load.tasks() + spread * Math.sqrt(load.tasks() * load.tasksPerJob());
     }
     // What a machine rented on demand can still be in time for needs less room ahead.
-    long slack = spec.dueMicros() - placer.estimates().runMicros(spec) - TOLD_MICROS;
+    long slack = spec.deadlineMicros() - placer.estimates().runMicros(spec) - TOLD_MICROS;
     return load.tasks()
         / (slack > 2 * offers.soonest(spec)
             ? policy.number(Policy.Name.FILL_WITH_SLACK)
@@ -412,7 +417,7 @@
   }
 
   /** Notes a job that has come. */
-  public void came(Job job) {
+  public void onJobArrival(Job job) {
     if (wallMicros - job.readyMicros() < policy.micros(Policy.Name.WINDOW)) {
       demand.came(job);
     }
@@ -422,36 +427,39 @@
    * Gives an empty worker to a shard whose gang waits for it. The worker has seen our term; its new
    * owner raises its own above it before it answers.
    */
-  private void lend(Placer.Queue queue) {
-    for (Placer.Need need : queue.waiting()) {
+  private void lend(Scheduler.DemandQueue queue) {
+    for (Scheduler.PendingDemand need : queue.pending()) {
       JobSpec spec = need.job().spec();
-      if (need.ours() || spec.shape() != JobSpec.Shape.GANG || need.count() < 2) {
+      if (need.owned() || spec.shape() != JobSpec.Shape.GANG || need.count() < 2) {
         continue;
       }
       for (Worker w : workers.all()) {
         boolean free =
-            membership.permits(OrderKind.RELEASE, w.shard())
-                && placer.usable(w)
+            membership.permits(ControlAction.SCALE_IN, w.shard())
+                && placer.isSchedulable(w)
                 && w.attempts().isEmpty()
-                && w.report().tasks().isEmpty();
-        if (!free || !spec.allows(w.type(), w.zone(), w.spot()) || type(w.type()).fits(spec) == 0) {
+                && w.heartbeat().tasks().isEmpty();
+        if (!free
+            || !spec.allowsMachine(w.type(), w.zone(), w.spot())
+            || type(w.type()).fits(spec) == 0) {
           continue;
         }
         LOG.info(
             "lend {} of shard {} to shard {} for {}", w.host(), w.shard(), need.shard(), spec.id());
-        w.releasing = true;
+        w.setReleasing(true);
         edit(
             w.host(),
             w.shard(),
             w.record(),
             w.record(need.shard(), false),
-            done -> w.releasing = false);
+            done -> w.setReleasing(false));
         return;
       }
     }
   }
 
-  private static Forecast.Slot slot(Offers.Offer offer, int shard, long from) {
+  private static Forecast.Slot slot(
+      InstanceOfferings.InstanceOffering offer, int shard, long from) {
     return new Forecast.Slot(offer.type(), offer.zone, offer.spot, shard, from, List.of());
   }
 
@@ -460,37 +468,46 @@
     Forecast forecast = new Forecast();
     for (Worker w : workers.all()) {
       MachineType type = type(w.type());
-      if (type == null || !w.entered() || w.leaving() || w.recallAtMicros() != 0) {
+      if (type == null || !w.registered() || w.terminating() || w.reclaimAtMicros() != 0) {
         continue;
       }
-      boolean ours = membership.owned().contains(w.shard());
-      long age = wallMicros - w.rentedWallMicros();
+      boolean ours = membership.ownedShards().contains(w.shard());
+      long age = wallMicros - w.launchedWallMicros();
       long from = nowMicros;
-      if (ours && w.report() != null) {
-        if (w.errors >= MachineReleases.MOST_ERRORS
-            || w.deaf()
-            || nowMicros - w.reportMicros() > MachineReleases.SILENT_MICROS) {
+      if (ours && w.heartbeat() != null) {
+        if (w.consecutiveFailures() >= ScaleIn.MAX_ERRORS
+            || w.unreachable()
+            || nowMicros - w.heartbeatMicros() > ScaleIn.SILENT_MICROS) {
           continue;
         }
       } else if (w.attempts().isEmpty()) {
         // Not seen up. One that should be up long since is not counted on.
-        boolean late = age > 2 * type.readyMicros() + MachineReleases.SILENT_MICROS;
-        if (late && ours && nowMicros - membership.sinceMicros(w.shard()) > releases.backMicros()) {
+        boolean late = age > 2 * type.readyMicros() + ScaleIn.SILENT_MICROS;
+        if (late
+            && ours
+            && nowMicros - membership.ownedSinceMicros(w.shard()) > releases.backMicros()) {
           continue;
         }
         from = nowMicros + Math.max(ours ? 1_000_000 : 0, type.readyMicros() - age);
       }
-      Forecast.Slot slot = new Forecast.Slot(type, w.zone(), w.spot(), w.shard(), from, w.images());
+      Forecast.Slot slot =
+          new Forecast.Slot(type, w.zone(), w.spot(), w.shard(), from, w.cachedImages());
       for (Attempt a : w.attempts().values()) {
         if (!a.closed()) {
           Slice s = a.slice();
           forecast.running(
-              placer.rank(a), slot, from, placer.endsMicros(a), s.cpus(), s.gpus(), s.memory());
+              placer.priority(a),
+              slot,
+              from,
+              placer.expectedEndMicros(a),
+              s.cpus(),
+              s.gpus(),
+              s.memory());
         }
       }
       forecast.add(slot);
     }
-    for (Rental r : rentals) {
+    for (ScaleOutRequest r : rentals) {
       for (int i = 0; i < r.number; i++) {
         forecast.add(slot(r.offer, r.shard, nowMicros + r.offer.type().readyMicros()));
       }
@@ -505,11 +522,11 @@
   private long latestStart(Job job, long run, long at) {
     JobSpec spec = job.spec();
     long age = Math.max(0, wallMicros - job.submittedMicros());
-    if (spec.dueMicros() > 0) {
+    if (spec.deadlineMicros() > 0) {
       long soonest = offers.soonest(spec);
       for (Settings.Objective o : settings.objectives()) {
         if (o.kind().equals("deadline") && spec.jobClass().equals(o.jobClass())) {
-          long left = (long) (spec.dueMicros() * o.times()) - age - run - TOLD_MICROS;
+          long left = (long) (spec.deadlineMicros() * o.times()) - age - run - TOLD_MICROS;
           if (left >= soonest || nowMicros + left >= at) {
             double haste = left > 0 ? policy.number(Policy.Name.HASTE) : 1;
             return nowMicros + Math.max((long) (left * haste), Math.min(left, soonest));
@@ -545,17 +562,17 @@
     return Math.max((long) (left * policy.number(Policy.Name.HASTE)), Math.min(left, soonest));
   }
 
-  private Offers.Offer choose(
+  private InstanceOfferings.InstanceOffering choose(
       JobSpec spec,
       Map<String, Integer> inZone,
       int count,
-      Map<Offers.Offer, Integer> asked,
+      Map<InstanceOfferings.InstanceOffering, Integer> asked,
       long latest,
       long otherwise) {
     return offers.choose(
-        new Offers.Wish(spec, inZone, count, latest, otherwise),
+        new InstanceOfferings.InstanceRequest(spec, inZone, count, latest, otherwise),
         asked,
-        MOST_AT_ONCE * Math.max(1, (int) tokens.left(0, nowMicros)),
+        MAX_AT_ONCE * Math.max(1, (int) tokens.available(0, nowMicros)),
         inZones,
         policy.number(Policy.Name.DEAR),
         nowMicros);
@@ -567,29 +584,29 @@
   }
 
   /** Rents so many machines, with as many calls as that takes. */
-  private void hire(Offers.Offer offer, int number, int shard) {
-    for (int rest = number; rest > 0; rest -= MOST_AT_ONCE) {
-      hireAtOnce(offer, Math.min(rest, MOST_AT_ONCE), shard);
+  private void hire(InstanceOfferings.InstanceOffering offer, int number, int shard) {
+    for (int rest = number; rest > 0; rest -= MAX_AT_ONCE) {
+      hireAtOnce(offer, Math.min(rest, MAX_AT_ONCE), shard);
     }
   }
 
-  private void hireAtOnce(Offers.Offer offer, int number, int shard) {
+  private void hireAtOnce(InstanceOfferings.InstanceOffering offer, int number, int shard) {
     // Names never repeat: a lease's number belongs to one life of one controller.
     String name = settings.node() + "-" + membership.incarnation() + "-" + (++rentalCount);
-    Rental rental = new Rental(name, offer, number, shard);
+    ScaleOutRequest rental = new ScaleOutRequest(name, offer, number, shard);
     rentals.add(rental);
     send(rental);
   }
 
-  private void send(Rental r) {
-    if (!tokens.take(1, 0, nowMicros)) {
+  private void send(ScaleOutRequest r) {
+    if (!tokens.tryAcquire(1, 0, nowMicros)) {
       rentals.remove(r);
       return;
     }
     r.tries++;
     LOG.info("rent {} {} for shard {}: {}", r.number, r.offer, r.shard, r.name);
     outbox.call(
-        settings.cloud(),
+        settings.cloudAddress(),
         "POST",
         "/rentals",
         Json.of(
@@ -602,13 +619,13 @@
         reply -> hired(r, reply));
   }
 
-  private void hired(Rental r, Outbox.Reply reply) {
+  private void hired(ScaleOutRequest r, Outbox.Reply reply) {
     if (reply.status() == 0 && r.tries < 4) {
       // Perhaps rented: the same name brings the same machines and rents nothing more.
-      tokens.force(1, nowMicros);
+      tokens.forceAcquire(1, nowMicros);
       r.tries++;
       outbox.call(
-          settings.cloud(),
+          settings.cloudAddress(),
           "POST",
           "/rentals",
           Json.of(
@@ -644,10 +661,10 @@
 
   /** The CPUs of each shard's machines, there or coming. */
   private long[] shardCpus() {
-    long[] cpus = new long[membership.shards()];
+    long[] cpus = new long[membership.shardCount()];
     for (Worker w : workers.all()) {
       MachineType type = type(w.type());
-      if (w.entered() && !w.leaving() && type != null && type.gpus() == 0) {
+      if (w.registered() && !w.terminating() && type != null && type.gpus() == 0) {
         cpus[w.shard()] += type.cpus();
       }
     }
@@ -659,7 +676,7 @@
    * machines are too, whoever rented them. What is uneven has to be claimed, task by task.
    */
   private int least(long[] cpus) {
-    int least = membership.home();
+    int least = membership.homeShard();
     for (int shard = 0; shard < cpus.length; shard++) {
       if (membership.liveOwner(shard) != null && cpus[shard] < cpus[least]) {
         least = shard;
@@ -680,19 +697,20 @@
         Worker.record(shard, type, zone, spot, wallMicros, false),
         done -> {
           adopting.remove(host);
-          scheduler.touch();
+          scheduler.requestScheduling();
         });
   }
 
   private void edit(String host, int shard, String from, String to, Consumer<Boolean> then) {
-    recordWriter.add(
-        new RecordWriter.FieldChange(shard, Worker.key(host), Worker.field(host), from, to, then));
+    recordWriter.submit(
+        new TransactionCommitter.FieldMutation(
+            shard, Worker.key(host), Worker.field(host), from, to, then));
   }
 
   /** A machine that reports and that nobody has entered. */
-  public void adopt(Report report) {
-    int shard = membership.home();
-    if (membership.permits(OrderKind.RENT, shard) && !workers.released(report.host())) {
+  public void registerUnknownWorker(Heartbeat report) {
+    int shard = membership.homeShard();
+    if (membership.permits(ControlAction.SCALE_OUT, shard) && !workers.wasReleased(report.host())) {
       LOG.info("adopt {} for shard {}", report.host(), shard);
       enter(report.host(), shard, shard, report.type(), report.zone(), report.spot());
     }
@@ -700,13 +718,13 @@
 
   /** Reads the cloud's list for machines that nobody has entered and for failed ones. */
   private void list(String from) {
-    if (!tokens.take(1, 1, nowMicros)) {
+    if (!tokens.tryAcquire(1, 1, nowMicros)) {
       return;
     }
     listing = true;
     String after = from.isEmpty() ? "" : "from=" + from + "&";
     outbox.call(
-        settings.cloud(),
+        settings.cloudAddress(),
         "GET",
         "/rentals?" + after + "most=500",
         null,
@@ -732,24 +750,24 @@
   private void listed(Map<String, Object> m) {
     String host = Json.text(m, "id");
     Worker w = workers.get(host);
-    if (w != null && w.entered()) {
+    if (w != null && w.registered()) {
       strangers.remove(host);
-      w.listed(Json.text(m, "endpoint"));
+      w.setListedEndpoint(Json.text(m, "endpoint"));
       boolean failed = "failed".equals(Json.text(m, "phase"));
-      if (failed && !w.releasing && membership.permits(OrderKind.RELEASE, w.shard())) {
+      if (failed && !w.releasing() && membership.permits(ControlAction.SCALE_IN, w.shard())) {
         releases.release(w, "failed");
       }
       return;
     }
-    if (workers.released(host)) {
+    if (workers.wasReleased(host)) {
       return;
     }
     // Lists lag: what was just rented or just released looks the same as an orphan for a while.
     long since = strangers.computeIfAbsent(host, h -> nowMicros);
-    int shard = membership.home();
+    int shard = membership.homeShard();
     if (nowMicros - since > 4 * settings.cloudLimits().listLagMicros() + LIST_MICROS
-        && Math.floorMod(host.hashCode(), membership.shards()) == shard
-        && membership.permits(OrderKind.RENT, shard)) {
+        && Math.floorMod(host.hashCode(), membership.shardCount()) == shard
+        && membership.permits(ControlAction.SCALE_OUT, shard)) {
       LOG.info("adopt {} for shard {}: listed, and nobody has entered it", host, shard);
       enter(
           host,
--- a/src/main/java/gladeknot/fleet/Forecast.java
+++ b/src/main/java/gladeknot/fleet/Forecast.java
@@ -1,6 +1,7 @@
 package gladeknot.fleet;
 
 import gladeknot.jobs.JobSpec;
+import gladeknot.workers.MachineType;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -69,7 +70,7 @@
 
     /** When a task could start; NEVER if it can't. */
     long earliest(JobSpec spec) {
-      if (!spec.allows(type.name(), zone, spot) || type.fits(spec) == 0) {
+      if (!spec.allowsMachine(type.name(), zone, spot) || type.fits(spec) == 0) {
         return NEVER;
       }
       long c = 0;
@@ -90,7 +91,7 @@
 
     /** How many of a job's tasks have room by a time, on what is free then. */
     long roomBy(JobSpec spec, long byMicros) {
-      if (!spec.allows(type.name(), zone, spot)) {
+      if (!spec.allowsMachine(type.name(), zone, spot)) {
         return 0;
       }
       long c = 0;
@@ -113,7 +114,7 @@
   }
 
   private record Running(
-      JobSpec.Rank rank, Slot slot, long from, long to, long cpus, long gpus, long memory) {}
+      JobSpec.Priority rank, Slot slot, long from, long to, long cpus, long gpus, long memory) {}
 
   private final List<Slot> slots = new ArrayList<>();
   private final Set<String> zones = new LinkedHashSet<>();
@@ -125,12 +126,12 @@
 
   /** Notes a task that runs; it counts once its rank has been admitted. */
   void running(
-      JobSpec.Rank rank, Slot slot, long from, long to, long cpus, long gpus, long memory) {
+      JobSpec.Priority rank, Slot slot, long from, long to, long cpus, long gpus, long memory) {
     running.add(new Running(rank, slot, from, to, cpus, gpus, memory));
   }
 
   /** From here on, running tasks of a rank and of those above it take their room. */
-  void admit(JobSpec.Rank rank) {
+  void admit(JobSpec.Priority rank) {
     if (rank.ordinal() <= admitted) {
       return;
     }
@@ -277,8 +278,8 @@
               spec.cpus(),
               spec.gpus(),
               spec.memory(),
-              spec.types(),
-              spec.spot(),
+              spec.machineTypes(),
+              spec.spotAllowed(),
               zone,
               shard,
               type,
@@ -296,7 +297,7 @@
       for (String zone : zones) {
         if (spec.zone() == null || spec.zone().equals(zone)) {
           for (String type : types) {
-            if (spec.types() == null || spec.types().contains(type)) {
+            if (spec.machineTypes() == null || spec.machineTypes().contains(type)) {
               byType.add(line(zone, type, null));
             }
           }
@@ -310,7 +311,7 @@
       findLines();
       int first = slots.size();
       for (Line line : byType) {
-        if (spec.zoneOpen(line.kind.zone(), inZone)) {
+        if (spec.allowsZone(line.kind.zone(), inZone)) {
           first = Math.min(first, line.fresh());
         }
       }
@@ -335,7 +336,7 @@
     private Line.Place best(List<Line> from, Map<String, Integer> inZone, Line.Place sofar) {
       Line.Place best = sofar;
       for (Line line : from) {
-        Line.Place first = spec.zoneOpen(line.kind.zone(), inZone) ? line.best() : null;
+        Line.Place first = spec.allowsZone(line.kind.zone(), inZone) ? line.best() : null;
         if (first != null && (best == null || before(first, best))) {
           best = first;
         }
--- a/src/main/java/gladeknot/fleet/Offers.java
+++ b/src/main/java/gladeknot/fleet/InstanceOfferings.java
@@ -1,31 +1,32 @@
 package gladeknot.fleet;
 
 import gladeknot.jobs.JobSpec;
+import gladeknot.workers.MachineType;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /** What the cloud offers, which of it was refused of late, and which suits a task best. */
-final class Offers {
+final class InstanceOfferings {
   /** What a second of lateness counts against a price an hour, when no offer is in time. */
   private static final double LATE = 0.05;
 
   /** How long an offer rests after it was refused, by how often in a row, and after an outage. */
   private static final long REST_MICROS = 5_000_000;
 
-  private static final int MOST_DOUBLED = 2;
+  private static final int MAX_DOUBLED = 2;
   private static final long TROUBLE_REST_MICROS = 3_000_000;
 
   /** A type in a zone, spot or ordinary. */
-  static final class Offer {
+  static final class InstanceOffering {
     private MachineType type;
     final String zone;
     final boolean spot;
     private long untilMicros;
     private int refusals;
 
-    private Offer(MachineType type, String zone, boolean spot) {
+    private InstanceOffering(MachineType type, String zone, boolean spot) {
       this.type = type;
       this.zone = zone;
       this.spot = spot;
@@ -42,19 +43,19 @@
   }
 
   private final Map<String, MachineType> types = new LinkedHashMap<>();
-  private final Map<String, Offer> offers = new LinkedHashMap<>();
+  private final Map<String, InstanceOffering> offers = new LinkedHashMap<>();
 
   /** Takes in the types as the cloud lists them now; what was refused stays known. */
   void read(List<MachineType> listed) {
     types.clear();
-    Map<String, Offer> before = new LinkedHashMap<>(offers);
+    Map<String, InstanceOffering> before = new LinkedHashMap<>(offers);
     offers.clear();
     for (MachineType type : listed) {
       types.put(type.name(), type);
       for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
-          Offer now = new Offer(type, zone, spot);
-          Offer offer = before.getOrDefault(now.toString(), now);
+          InstanceOffering now = new InstanceOffering(type, zone, spot);
+          InstanceOffering offer = before.getOrDefault(now.toString(), now);
           offer.type = type;
           offers.put(offer.toString(), offer);
         }
@@ -77,7 +78,7 @@
 
   /** Whether any offer is worth a call. */
   boolean anyOpen(long nowMicros) {
-    for (Offer offer : offers.values()) {
+    for (InstanceOffering offer : offers.values()) {
       if (nowMicros >= offer.untilMicros) {
         return true;
       }
@@ -86,18 +87,18 @@
   }
 
   /** Notes that an offer was refused or only partly filled. */
-  void refused(Offer offer, boolean outage, long nowMicros) {
-    offer.refusals = outage ? 1 : Math.min(offer.refusals + 1, MOST_DOUBLED);
+  void refused(InstanceOffering offer, boolean outage, long nowMicros) {
+    offer.refusals = outage ? 1 : Math.min(offer.refusals + 1, MAX_DOUBLED);
     offer.untilMicros = nowMicros + (outage ? TROUBLE_REST_MICROS : REST_MICROS << offer.refusals);
   }
 
-  void filled(Offer offer) {
+  void filled(InstanceOffering offer) {
     offer.refusals = 0;
     offer.untilMicros = 0;
   }
 
   private static boolean mayUse(JobSpec spec, MachineType type) {
-    return spec.types() == null || spec.types().contains(type.name());
+    return spec.machineTypes() == null || spec.machineTypes().contains(type.name());
   }
 
   boolean fitsSome(JobSpec spec) {
@@ -125,7 +126,7 @@
   }
 
   /** Tasks that a machine is looked for, and what else bears on the choice. */
-  record Wish(
+  record InstanceRequest(
       JobSpec spec,
       Map<String, Integer> inZone,
       int count,
@@ -140,18 +141,18 @@
    * @param perZone how many machines there are in each zone
    * @param dearFactor how many times its cheapest price a task may cost among GPUs it doesn't use
    */
-  Offer choose(
-      Wish wish,
-      Map<Offer, Integer> asked,
+  InstanceOffering choose(
+      InstanceRequest wish,
+      Map<InstanceOffering, Integer> asked,
       int most,
       Map<String, Integer> perZone,
       double dearFactor,
       long nowMicros) {
     JobSpec spec = wish.spec();
-    Offer best = null;
+    InstanceOffering best = null;
     double bestScore = 0;
     double dear = dear(spec) * dearFactor;
-    for (Offer offer : offers.values()) {
+    for (InstanceOffering offer : offers.values()) {
       MachineType type = offer.type;
       int fits = type.fits(spec);
       boolean wasteful = spec.gpus() == 0 && type.gpus() > 0;
@@ -159,8 +160,8 @@
           || nowMicros < offer.untilMicros
           || (wasteful && spec.shape() == JobSpec.Shape.SERVICE)
           || (wasteful && type.price(offer.spot) / fits > dear)
-          || !spec.allows(type.name(), offer.zone, offer.spot)
-          || !spec.zoneOpen(offer.zone, wish.inZone())
+          || !spec.allowsMachine(type.name(), offer.zone, offer.spot)
+          || !spec.allowsZone(offer.zone, wish.inZone())
           || asked.getOrDefault(offer, 0) >= most) {
         continue;
       }
@@ -174,7 +175,7 @@
         score += LATE * (up - wish.latestMicros()) / 1e6;
       }
       // Both zones get machines where tasks are to be spread.
-      if (spec.scatter()) {
+      if (spec.spread()) {
         score *= 1 + 0.05 * perZone.getOrDefault(offer.zone, 0);
       }
       if (best == null || score < bestScore) {
--- a/src/main/java/gladeknot/fleet/MachineReleases.java
+++ b/src/main/java/gladeknot/fleet/ScaleIn.java
@@ -1,14 +1,15 @@
 package gladeknot.fleet;
 
-import gladeknot.connectivity.OrderKind;
-import gladeknot.http.Json;
-import gladeknot.http.Outbox;
+import gladeknot.commit.TransactionCommitter;
+import gladeknot.connectivity.ControlAction;
+import gladeknot.json.Json;
+import gladeknot.lifecycle.TaskLifecycle;
 import gladeknot.membership.Membership;
-import gladeknot.placement.RecordWriter;
-import gladeknot.placement.Scheduler;
+import gladeknot.outbox.Outbox;
 import gladeknot.policy.Policy;
 import gladeknot.settings.Settings;
 import gladeknot.state.TokenBucket;
+import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
 import java.util.LinkedHashMap;
@@ -23,21 +24,21 @@
  * Gives machines back to the cloud: those that are idle, broken, silent or never came up. A machine
  * is marked in the state service before the cloud is asked to delete it.
  */
-final class MachineReleases {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineReleases.class);
+final class ScaleIn {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
   private static final long CALL_MICROS = 8_000_000;
 
   /** The most that the protocol lets one request name. */
-  private static final int MOST_RELEASED = 100;
+  private static final int MAX_RELEASED = 100;
 
   /** Failures in a row after which a machine gets nothing new and is given back. */
-  static final int MOST_ERRORS = 4;
+  static final int MAX_ERRORS = 4;
 
   /** A machine that has not reported for this long is not counted on. */
   static final long SILENT_MICROS = 8_000_000;
 
   /** The least time that a machine has to come back after a restart of its controller. */
-  private static final long LEAST_BACK_MICROS = 10_000_000;
+  private static final long MIN_BACK_MICROS = 10_000_000;
 
   /** A machine that has been silent for so many leases is given up. */
   private static final int SILENT_LEASES = 3;
@@ -46,7 +47,7 @@
   private static final int ZONE_PATIENCE = 4;
 
   /** A machine is charged for a minute at least. */
-  private static final long LEAST_CHARGED_MICROS = 55_000_000;
+  private static final long MIN_CHARGED_MICROS = 55_000_000;
 
   /** What a machine of an unknown type is thought to take to boot. */
   private static final long UNKNOWN_READY_MICROS = 60_000_000;
@@ -58,8 +59,8 @@
   private final Policy policy;
   private final Membership membership;
   private final WorkerRegistry workers;
-  private final RecordWriter recordWriter;
-  private final Scheduler scheduler;
+  private final TransactionCommitter recordWriter;
+  private final TaskLifecycle scheduler;
   private final Outbox outbox;
   private final TokenBucket tokens;
   private final Function<String, MachineType> types;
@@ -70,13 +71,13 @@
   private long nowMicros;
   private long wallMicros;
 
-  MachineReleases(
+  ScaleIn(
       Settings settings,
       Policy policy,
       Membership membership,
       WorkerRegistry workers,
-      RecordWriter recordWriter,
-      Scheduler scheduler,
+      TransactionCommitter recordWriter,
+      TaskLifecycle scheduler,
       Outbox outbox,
       TokenBucket tokens,
       Function<String, MachineType> types) {
@@ -95,8 +96,8 @@
   void step(long now, long wall) {
     nowMicros = now;
     wallMicros = wall;
-    for (int shard : List.copyOf(membership.owned())) {
-      if (membership.permits(OrderKind.RELEASE, shard)) {
+    for (int shard : List.copyOf(membership.ownedShards())) {
+      if (membership.permits(ControlAction.SCALE_IN, shard)) {
         giveBack(shard);
       }
     }
@@ -105,8 +106,8 @@
 
   /** Gives back what is idle, broken or never came up. */
   private void giveBack(int shard) {
-    for (Worker worker : workers.of(shard)) {
-      String why = worker.releasing ? null : reason(worker, shard);
+    for (Worker worker : workers.inShard(shard)) {
+      String why = worker.releasing() ? null : reason(worker, shard);
       if (why != null) {
         release(worker, why);
       }
@@ -116,19 +117,19 @@
   /** Why a machine is to be given back; null if it stays. */
   private String reason(Worker worker, int shard) {
     boolean busy = !worker.attempts().isEmpty();
-    if (worker.leaving()) {
+    if (worker.terminating()) {
       return "marked for it";
     }
-    if (worker.report() == null) {
+    if (worker.heartbeat() == null) {
       return reasonUnreported(worker, shard, busy);
     }
     if (silentForGood(worker)) {
       return "silent";
     }
-    if (worker.errors >= MOST_ERRORS && !busy) {
+    if (worker.consecutiveFailures() >= MAX_ERRORS && !busy) {
       return "fails tasks";
     }
-    if (worker.surelyDeaf() && !busy) {
+    if (worker.confirmedUnreachable() && !busy) {
       return "does not hear";
     }
     return idleForGood(worker, busy) ? "idle" : null;
@@ -138,8 +139,8 @@
   private String reasonUnreported(Worker worker, int shard, boolean busy) {
     MachineType type = types.apply(worker.type());
     long ready = type == null ? UNKNOWN_READY_MICROS : type.readyMicros();
-    long age = Math.max(0, wallMicros - worker.rentedWallMicros());
-    long here = nowMicros - membership.sinceMicros(shard);
+    long age = Math.max(0, wallMicros - worker.launchedWallMicros());
+    long here = nowMicros - membership.ownedSinceMicros(shard);
     long back = busy ? silentMicros() : backMicros();
     if (age <= 2 * ready + ready / 4 + READY_MARGIN_MICROS || here <= back) {
       return null;
@@ -153,23 +154,21 @@
   }
 
   private boolean silentForGood(Worker worker) {
-    long quiet = nowMicros - worker.reportMicros();
+    long quiet = nowMicros - worker.heartbeatMicros();
     return quiet > silentMicros()
         && (quiet > ZONE_PATIENCE * silentMicros() || !zoneSilent(worker));
   }
 
   /** Whether nothing has been on a machine for a while, and nothing is expected that needs it. */
   private boolean idleForGood(Worker worker, boolean busy) {
-    if (busy || !worker.report().tasks().isEmpty()) {
-      worker.idleSinceMicros = 0;
+    if (busy || !worker.heartbeat().tasks().isEmpty()) {
+      worker.markBusy();
       return false;
     }
-    if (worker.idleSinceMicros == 0) {
-      worker.idleSinceMicros = nowMicros;
-    }
-    return nowMicros - worker.idleSinceMicros > policy.micros(Policy.Name.IDLE_KEEP)
-        && worker.unneeded
-        && wallMicros - worker.rentedWallMicros() > LEAST_CHARGED_MICROS;
+    worker.markIdle(nowMicros);
+    return nowMicros - worker.idleSinceMicros() > policy.micros(Policy.Name.IDLE_KEEP)
+        && worker.surplus()
+        && wallMicros - worker.launchedWallMicros() > MIN_CHARGED_MICROS;
   }
 
   /**
@@ -178,8 +177,8 @@
    * back with their tasks, and others rented in their place.
    */
   long backMicros() {
-    long back = settings.workers().leaseMicros() + 4 * settings.workers().reportMicros();
-    return Math.max(back, LEAST_BACK_MICROS);
+    long back = settings.workers().leaseMicros() + 4 * settings.workers().heartbeatMicros();
+    return Math.max(back, MIN_BACK_MICROS);
   }
 
   /**
@@ -190,9 +189,9 @@
     int all = 0;
     int silent = 0;
     for (Worker other : workers.all()) {
-      if (other.report() != null && other.zone().equals(worker.zone())) {
+      if (other.heartbeat() != null && other.zone().equals(worker.zone())) {
         all++;
-        silent += nowMicros - other.reportMicros() > SILENT_MICROS ? 1 : 0;
+        silent += nowMicros - other.heartbeatMicros() > SILENT_MICROS ? 1 : 0;
       }
     }
     return silent >= 2 && silent * 2 > all;
@@ -200,10 +199,10 @@
 
   /** Marks a machine and has it deleted. */
   void release(Worker worker, String why) {
-    worker.releasing = true;
+    worker.setReleasing(true);
     int shard = worker.shard();
     LOG.info("release {} of shard {}: {}", worker.host(), shard, why);
-    if (worker.leaving()) {
+    if (worker.terminating()) {
       sendRelease(worker.host(), shard);
       return;
     }
@@ -216,7 +215,7 @@
           if (done) {
             sendRelease(worker.host(), shard);
           } else {
-            worker.releasing = false;
+            worker.setReleasing(false);
           }
         });
   }
@@ -227,18 +226,18 @@
 
   /** Releases what waits for it, many machines with one call. */
   private void sendReleases() {
-    if (toRelease.isEmpty() || !tokens.take(1, 0, nowMicros)) {
+    if (toRelease.isEmpty() || !tokens.tryAcquire(1, 0, nowMicros)) {
       return;
     }
     Map<String, Integer> shards = new LinkedHashMap<>();
     for (Map.Entry<String, Integer> e : toRelease.entrySet()) {
-      if (shards.size() < MOST_RELEASED) {
+      if (shards.size() < MAX_RELEASED) {
         shards.put(e.getKey(), e.getValue());
       }
     }
     toRelease.keySet().removeAll(shards.keySet());
     outbox.call(
-        settings.cloud(),
+        settings.cloudAddress(),
         "POST",
         "/rentals/release",
         Json.of("hosts", List.copyOf(shards.keySet())),
@@ -250,18 +249,19 @@
     Worker worker = workers.get(host);
     if (!done) {
       if (worker != null) {
-        worker.releasing = false;
+        worker.setReleasing(false);
       }
       return;
     }
-    scheduler.machineGone(host, "machine released");
-    if (worker != null && worker.entered()) {
+    scheduler.onMachineGone(host, "machine released");
+    if (worker != null && worker.registered()) {
       edit(host, shard, worker.record(), Worker.RELEASED, ok -> {});
     }
   }
 
   private void edit(String host, int shard, String from, String to, Consumer<Boolean> then) {
-    recordWriter.add(
-        new RecordWriter.FieldChange(shard, Worker.key(host), Worker.field(host), from, to, then));
+    recordWriter.submit(
+        new TransactionCommitter.FieldMutation(
+            shard, Worker.key(host), Worker.field(host), from, to, then));
   }
 }
--- a/src/main/java/gladeknot/http/HttpCaller.java
+++ b/src/main/java/gladeknot/http/HttpCaller.java
@@ -1,5 +1,6 @@
 package gladeknot.http;
 
+import gladeknot.outbox.Outbox;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -36,7 +37,7 @@
    * Idle connections kept in all. Commands go to every machine some time: kept for each of them,
    * they would use up the sockets that workers and users need.
    */
-  static final int MOST_IDLE = 64;
+  static final int MAX_IDLE = 64;
 
   /** Takes a reply in. */
   public interface Handler {
@@ -125,7 +126,7 @@
     idleSince.put(channel, address);
     if (idle.size() > KEPT) {
       close(idle.peekFirst());
-    } else if (idleSince.size() > MOST_IDLE) {
+    } else if (idleSince.size() > MAX_IDLE) {
       close(idleSince.keySet().iterator().next());
     }
   }
--- a/src/main/java/gladeknot/http/HttpServer.java
+++ b/src/main/java/gladeknot/http/HttpServer.java
@@ -1,5 +1,7 @@
 package gladeknot.http;
 
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/gladeknot/jobs/DependencyGraph.java
+++ b/src/main/java/gladeknot/jobs/DependencyGraph.java
@@ -67,7 +67,7 @@
   void add(Job job, List<Job> released) {
     Dependent dependent = new Dependent(job);
     boolean doomed = false;
-    for (String need : job.spec().waitsOn()) {
+    for (String need : job.spec().dependencies()) {
       Job ended = over.apply(need);
       if (ended == null) {
         dependent.open.add(need);
@@ -108,7 +108,7 @@
   /** A job is over. Those that waited for nothing else any more are added to {@code released}. */
   void ended(String id, List<Job> released) {
     Job ended = over.apply(id);
-    if (ended.phase() == Job.Phase.WITHDRAWN) {
+    if (ended.phase() == Job.Phase.CANCELLED) {
       withdrawDependents(id);
       return;
     }
@@ -156,13 +156,13 @@
   private static Job asWithdrawn(Job job) {
     return new Job(
         job.id(),
-        Job.Phase.WITHDRAWN,
+        Job.Phase.CANCELLED,
         null,
         job.home(),
         job.tasks(),
         job.submittedMicros(),
         0,
         0,
-        job.stamp());
+        job.modRevision());
   }
 }
--- a/src/main/java/gladeknot/jobs/Job.java
+++ b/src/main/java/gladeknot/jobs/Job.java
@@ -1,8 +1,7 @@
 package gladeknot.jobs;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import gladeknot.state.StateStore;
-import java.util.Locale;
 import java.util.Map;
 
 /**
@@ -21,7 +20,7 @@
     long submittedMicros,
     long readyMicros,
     long endMicros,
-    long stamp) {
+    long modRevision) {
 
   // Names of the fields of a job's record.
   private static final String FIELD_PHASE = "p";
@@ -35,24 +34,30 @@
 
   /** Whether a job goes on or how it ended. */
   public enum Phase {
-    ACTIVE,
-    DONE,
-    WITHDRAWN;
+    ACTIVE("active"),
+    DONE("done"),
+    CANCELLED("withdrawn");
 
-    /** The word for a final phase in answers and records. */
+    private final String word;
+
+    Phase(String word) {
+      this.word = word;
+    }
+
+    /** The protocol's word for a final phase, in answers and records. */
     String word() {
-      return name().toLowerCase(Locale.ROOT);
+      return word;
     }
 
     private static Phase ofName(String word) {
-      return DONE.word().equals(word) ? DONE : WITHDRAWN;
+      return DONE.word().equals(word) ? DONE : CANCELLED;
     }
   }
 
-  public static final String KEYS = StateStore.ROOT + "job/";
+  public static final String KEY_PREFIX = StateStore.ROOT + "job/";
 
   public static String key(String id) {
-    return KEYS + id;
+    return KEY_PREFIX + id;
   }
 
   public boolean active() {
@@ -61,23 +66,23 @@
 
   /** The same job, with its waits counted from a later moment. */
   Job readyAt(long micros) {
-    return new Job(id, phase, spec, home, tasks, submittedMicros, micros, endMicros, stamp);
+    return new Job(id, phase, spec, home, tasks, submittedMicros, micros, endMicros, modRevision);
   }
 
   /** Reads a job's key. */
-  static Job read(String id, StateStore.Entry entry) {
+  static Job decode(String id, StateStore.Entry entry) {
     Map<String, Object> data = entry.data();
     String phase = Json.text(data, FIELD_PHASE);
     if (phase != null) {
       int tasks = (int) Json.num(data, FIELD_TASKS, 0);
       long end = Json.num(data, FIELD_END, 0);
-      return new Job(id, Phase.ofName(phase), null, 0, tasks, 0, 0, end, entry.stamp());
+      return new Job(id, Phase.ofName(phase), null, 0, tasks, 0, 0, end, entry.modRevision());
     }
     try {
       JobSpec spec = JobSpec.parse(Json.map(data.get(FIELD_SPEC)));
       int home = (int) Json.num(data, FIELD_HOME, 0);
       long at = Json.num(data, FIELD_SUBMITTED, 0);
-      return new Job(id, Phase.ACTIVE, spec, home, spec.tasks(), at, at, 0, entry.stamp());
+      return new Job(id, Phase.ACTIVE, spec, home, spec.tasks(), at, at, 0, entry.modRevision());
     } catch (JobSpec.MalformedJobException e) {
       throw new IllegalStateException("job " + id + " is stored malformed: " + e.getMessage(), e);
     }
@@ -94,7 +99,7 @@
   }
 
   /** What is stored for good once a job is withdrawn. */
-  public static Map<String, Object> withdrawn(int tasks) {
-    return Json.of(FIELD_PHASE, Phase.WITHDRAWN.word(), FIELD_TASKS, tasks);
+  public static Map<String, Object> cancelled(int tasks) {
+    return Json.of(FIELD_PHASE, Phase.CANCELLED.word(), FIELD_TASKS, tasks);
   }
 }
--- a/src/main/java/gladeknot/jobs/JobRegistry.java
+++ b/src/main/java/gladeknot/jobs/JobRegistry.java
@@ -20,14 +20,14 @@
   /** Hears of jobs that become active or are over. */
   public interface Listener {
     /** One of the two may be null: a job that was not active before, or is gone. */
-    void jobChanged(Job before, Job now);
+    void onJobChange(Job before, Job now);
   }
 
   private final Map<String, Job> active = new LinkedHashMap<>();
-  private final Map<String, Job> over = new HashMap<>();
-  private final DependencyGraph graph = new DependencyGraph(this::over);
+  private final Map<String, Job> finished = new HashMap<>();
+  private final DependencyGraph graph = new DependencyGraph(this::finished);
   private final Listener listener;
-  private long changes;
+  private long changeCount;
 
   public JobRegistry(Listener listener) {
     this.listener = listener;
@@ -55,53 +55,53 @@
   }
 
   /** Whether a job is done or withdrawn; one that is not known is not. */
-  public boolean isOver(String id) {
-    return over(id) != null;
+  public boolean isFinished(String id) {
+    return finished(id) != null;
   }
 
   /** A job that is done or withdrawn, be it through one that it needs; null if it isn't. */
-  public Job over(String id) {
-    Job job = over.get(id);
+  public Job finished(String id) {
+    Job job = finished.get(id);
     return job != null ? job : graph.withdrawn(id);
   }
 
   /** Whether a job was accepted, as far as the copy tells. */
-  public boolean known(String id) {
-    return unfinished(id) != null || isOver(id);
+  public boolean isKnown(String id) {
+    return unfinished(id) != null || isFinished(id);
   }
 
   /** Jobs that are withdrawn through others, and whose own records don't say so yet. */
-  public List<Job> withdrawnThroughOthers() {
+  public List<Job> cancelledByDependency() {
     return graph.withdrawn();
   }
 
   /** The jobs named by a job's {@code waitsOn} that are not done yet; empty if it isn't held. */
-  public Collection<String> openNeeds(String id) {
+  public Collection<String> openDependencies(String id) {
     return graph.openNeeds(id);
   }
 
   /** Grows with every change. */
-  public long changes() {
-    return changes;
+  public long changeCount() {
+    return changeCount;
   }
 
   /** Takes in a change of a job's key. */
-  public void changed(String key, StateStore.Entry entry) {
-    String id = key.substring(Job.KEYS.length());
-    changes++;
+  public void onChange(String key, StateStore.Entry entry) {
+    String id = key.substring(Job.KEY_PREFIX.length());
+    changeCount++;
     Job before = active.remove(id);
-    Job now = entry == null ? null : Job.read(id, entry);
+    Job now = entry == null ? null : Job.decode(id, entry);
     graph.remove(id);
     if (now == null) {
-      over.remove(id);
-      listener.jobChanged(before, null);
+      finished.remove(id);
+      listener.onJobChange(before, null);
     } else if (now.active()) {
       List<Job> released = new ArrayList<>();
       graph.add(now, released);
       released.forEach(job -> activate(before, job));
     } else {
-      over.put(id, now);
-      listener.jobChanged(before, now);
+      finished.put(id, now);
+      listener.onJobChange(before, now);
       List<Job> released = new ArrayList<>();
       graph.ended(id, released);
       released.forEach(job -> activate(null, job));
@@ -110,6 +110,6 @@
 
   private void activate(Job before, Job job) {
     active.put(job.id(), job);
-    listener.jobChanged(before, job);
+    listener.onJobChange(before, job);
   }
 }
--- a/src/main/java/gladeknot/jobs/JobRequestHandler.java
+++ b/src/main/java/gladeknot/jobs/JobRequestHandler.java
@@ -1,11 +1,11 @@
 package gladeknot.jobs;
 
-import gladeknot.http.Json;
-import gladeknot.http.Outbox;
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Outcome;
-import gladeknot.state.StateStore.Write;
+import gladeknot.state.StateStore.CommitOutcome;
+import gladeknot.state.StateStore.Mutation;
 import gladeknot.tracing.TaskTracer;
 import java.io.IOException;
 import java.util.ArrayDeque;
@@ -29,7 +29,7 @@
   private static final int STAMPS_BYTES = 64;
 
   /** What the desk must know of the others. */
-  public interface Surroundings {
+  public interface ClusterView {
     /** Whether the machine types are known. */
     boolean typesKnown();
 
@@ -40,23 +40,24 @@
     int homeShard(JobSpec spec);
 
     /** Done and running tasks of a job that goes on. */
-    int[] counts(Job job);
+    int[] taskCounts(Job job);
 
     /** Why answers that are not final can't be given now; null if they can. */
     String refusal();
 
     /** Tells the other controllers of jobs whose cancellation has just been committed. */
-    void withdrawn(List<String> ids);
+    void announceCancelled(List<String> ids);
   }
 
-  private record Pending(long request, String id, JobSpec spec, boolean abort, long sinceMicros) {}
+  private record Pending(
+      long request, String id, JobSpec spec, boolean cancellation, long sinceMicros) {}
 
   private final Settings settings;
   private final StateStore stateStore;
   private final JobRegistry jobs;
   private final Outbox outbox;
   private final TaskTracer tracer;
-  private final Surroundings around;
+  private final ClusterView cluster;
   private final ArrayDeque<Pending> queue = new ArrayDeque<>();
   private boolean inFlight;
   private long nextMicros;
@@ -70,13 +71,13 @@
       JobRegistry jobs,
       Outbox outbox,
       TaskTracer tracer,
-      Surroundings around) {
+      ClusterView around) {
     this.tracer = tracer;
     this.settings = settings;
     this.stateStore = stateStore;
     this.jobs = jobs;
     this.outbox = outbox;
-    this.around = around;
+    this.cluster = around;
   }
 
   /** POST /work. */
@@ -103,11 +104,11 @@
       outbox.answer(request, 422, Json.of("error", never));
       return;
     }
-    if (!around.typesKnown()) {
-      outbox.comeBack(request, 503, "machine types are not known yet", 1);
+    if (!cluster.typesKnown()) {
+      outbox.retryLater(request, 503, "machine types are not known yet", 1);
       return;
     }
-    if (!around.fitsSomeType(spec)) {
+    if (!cluster.fitsSomeType(spec)) {
       outbox.answer(
           request,
           422,
@@ -115,23 +116,23 @@
       return;
     }
     if (Json.bytes(Job.accepted(spec, 0, 0)).length + STAMPS_BYTES
-        > stateStore.limits().valueBytes()) {
-      String longest = spec.waitsOn().isEmpty() ? "hosttypes" : "waitsOn";
+        > stateStore.limits().maxValueBytes()) {
+      String longest = spec.dependencies().isEmpty() ? "hosttypes" : "waitsOn";
       outbox.answer(request, 400, Json.of("error", longest + ": too long"));
       return;
     }
-    if (spec.waitsOn().contains(spec.id())) {
+    if (spec.dependencies().contains(spec.id())) {
       outbox.answer(request, 422, Json.of("error", "waitsOn: names the job itself"));
       return;
     }
-    if (spec.waitsOn().stream().allMatch(jobs::known)) {
+    if (spec.dependencies().stream().allMatch(jobs::isKnown)) {
       submitWithNeeds(request, spec);
       return;
     }
     // The copy may be older than the acceptance of a job that is named.
-    stateStore.barrier(
+    stateStore.readBarrier(
         () -> submitWithNeeds(request, spec),
-        () -> outbox.comeBack(request, 503, "the state service does not answer", 1));
+        () -> outbox.retryLater(request, 503, "the state service does not answer", 1));
   }
 
   /** Accepts a submission unless it names jobs that can't be waited for; the copy is new enough. */
@@ -140,9 +141,9 @@
       poll(request, spec.id());
       return;
     }
-    for (String need : spec.waitsOn()) {
+    for (String need : spec.dependencies()) {
       Job job = jobs.unfinished(need);
-      if (!jobs.known(need)) {
+      if (!jobs.isKnown(need)) {
         outbox.answer(request, 422, Json.of("error", "waitsOn: no such job " + need));
         return;
       }
@@ -156,11 +157,11 @@
 
   /** Refuses a request at once while nothing new can be learnt; returns whether it did. */
   private boolean withheld(long request) {
-    String why = stateStore.loaded() ? around.refusal() : "the state is not read yet";
+    String why = stateStore.loaded() ? cluster.refusal() : "the state is not read yet";
     if (why == null) {
       return false;
     }
-    outbox.comeBack(request, 503, why, 1);
+    outbox.retryLater(request, 503, why, 1);
     return true;
   }
 
@@ -169,7 +170,7 @@
     if (team == null) {
       return "owner: unknown team " + spec.team();
     }
-    long count = spec.whole() ? spec.tasks() : 1;
+    long count = spec.unsplit() ? spec.tasks() : 1;
     if (!team.allows(spec.cpus() * count, spec.gpus() * count)) {
       return "cores, accelerators: more than the limit of team " + spec.team();
     }
@@ -178,18 +179,18 @@
 
   private void enqueue(Pending pending) {
     if (queue.size() >= MAX_QUEUE) {
-      outbox.comeBack(pending.request(), 429, "too many requests are waiting", 3);
+      outbox.retryLater(pending.request(), 429, "too many requests are waiting", 3);
       return;
     }
     queue.add(pending);
-    if (!pending.abort()) {
+    if (!pending.cancellation()) {
       tracer.submitted(pending.id());
     }
     flush();
   }
 
   private boolean known(String id) {
-    return jobs.known(id);
+    return jobs.isKnown(id);
   }
 
   /** GET /work/ID. */
@@ -200,14 +201,14 @@
     if (withheld(request)) {
       return;
     }
-    stateStore.barrier(
+    stateStore.readBarrier(
         () -> answerState(request, id),
-        () -> outbox.comeBack(request, 503, "the state service does not answer", 1));
+        () -> outbox.retryLater(request, 503, "the state service does not answer", 1));
   }
 
   /** Answers if the job is over: that never changes again. */
   private boolean over(long request, String id, boolean counts) {
-    Job job = jobs.over(id);
+    Job job = jobs.finished(id);
     if (job == null) {
       return false;
     }
@@ -230,14 +231,14 @@
       return;
     }
     // A held job has no slices, and so none of its tasks is counted.
-    int[] counts = around.counts(job);
+    int[] counts = cluster.taskCounts(job);
     String phase = counts[1] > 0 ? "running" : "queued";
     outbox.answer(
         request, 200, Json.of("id", id, "phase", phase, "done", counts[0], "running", counts[1]));
   }
 
   /** POST /work/ID/abort. */
-  public void abort(long request, String id) {
+  public void cancel(long request, String id) {
     if (over(request, id, false)) {
       return;
     }
@@ -248,7 +249,7 @@
       enqueue(new Pending(request, id, null, true, nowMicros));
       return;
     }
-    stateStore.barrier(
+    stateStore.readBarrier(
         () -> {
           if (over(request, id, false)) {
             return;
@@ -259,7 +260,7 @@
             outbox.answer(request, 404, Json.of("error", "no such job"));
           }
         },
-        () -> outbox.comeBack(request, 503, "the state service does not answer", 1));
+        () -> outbox.retryLater(request, 503, "the state service does not answer", 1));
   }
 
   /** Refuses what has waited for too long, and commits what can be. */
@@ -278,41 +279,42 @@
       return;
     }
     Map<String, Long> conditions = new LinkedHashMap<>();
-    List<Write> writes = new ArrayList<>();
+    List<Mutation> writes = new ArrayList<>();
     List<Pending> batch = new ArrayList<>();
     List<Pending> later = new ArrayList<>();
     int bytes = 0;
     // What there are tokens for goes now: a full batch must not wait for a full bucket.
-    int room = Math.min(stateStore.limits().operations(), Math.max(1, stateStore.writesLeft(0)));
+    int room =
+        Math.min(stateStore.limits().maxOperations(), Math.max(1, stateStore.availableWrites(0)));
     while (!queue.isEmpty()
         && writes.size() < room
-        && bytes < stateStore.limits().transactionBytes()) {
+        && bytes < stateStore.limits().maxTransactionBytes()) {
       Pending p = queue.poll();
       String key = Job.key(p.id());
       if (conditions.containsKey(key)) {
         later.add(p);
         continue;
       }
-      if (p.abort()) {
+      if (p.cancellation()) {
         Job job = jobs.unfinished(p.id());
         if (job == null) {
-          abort(p.request(), p.id());
+          cancel(p.request(), p.id());
           continue;
         }
-        conditions.put(key, job.stamp());
-        writes.add(Write.put(key, Job.withdrawn(job.tasks())));
+        conditions.put(key, job.modRevision());
+        writes.add(Mutation.put(key, Job.cancelled(job.tasks())));
       } else if (known(p.id())) {
         poll(p.request(), p.id());
         continue;
       } else {
         conditions.put(key, 0L);
-        Map<String, Object> data = Job.accepted(p.spec(), around.homeShard(p.spec()), wallMicros);
+        Map<String, Object> data = Job.accepted(p.spec(), cluster.homeShard(p.spec()), wallMicros);
         bytes += Json.bytes(data).length;
-        writes.add(Write.put(key, data));
+        writes.add(Mutation.put(key, data));
       }
       batch.add(p);
     }
-    if (!batch.isEmpty() && stateStore.takeWrites(batch.size(), 0)) {
+    if (!batch.isEmpty() && stateStore.tryAcquireWrites(batch.size(), 0)) {
       inFlight = true;
       stateStore.commit(conditions, writes, outcome -> finished(outcome, batch));
     } else {
@@ -325,37 +327,38 @@
 
   private void refuse(List<Pending> batch, String why) {
     for (Pending p : batch) {
-      outbox.comeBack(p.request(), 503, why, 1);
+      outbox.retryLater(p.request(), 503, why, 1);
       tracer.refused(p.id(), why);
     }
   }
 
-  private void finished(Outcome outcome, List<Pending> batch) {
+  private void finished(CommitOutcome outcome, List<Pending> batch) {
     inFlight = false;
-    switch (outcome.result()) {
-      case DONE -> {
-        List<String> withdrawn = batch.stream().filter(Pending::abort).map(Pending::id).toList();
+    switch (outcome.status()) {
+      case COMMITTED -> {
+        List<String> withdrawn =
+            batch.stream().filter(Pending::cancellation).map(Pending::id).toList();
         if (!withdrawn.isEmpty()) {
-          around.withdrawn(withdrawn);
+          cluster.announceCancelled(withdrawn);
         }
         for (Pending p : batch) {
-          if (p.abort()) {
+          if (p.cancellation()) {
             LOG.info("job {} withdrawn", p.id());
           } else {
             LOG.info("job {} accepted: {}", p.id(), p.spec());
             tracer.accepted(p.id());
           }
-          int status = p.abort() ? 200 : 201;
+          int status = p.cancellation() ? 200 : 201;
           // A job may be withdrawn from the start, by one that it needs.
-          String phase = jobs.isOver(p.id()) ? jobs.over(p.id()).phase().word() : "queued";
+          String phase = jobs.isFinished(p.id()) ? jobs.finished(p.id()).phase().word() : "queued";
           outbox.answer(p.request(), status, Json.of("id", p.id(), "phase", phase));
         }
       }
       case CONFLICT ->
           // Somebody else changed one of these jobs; with the copy that new, each is looked at
           // anew.
-          stateStore.whenAt(
-              outcome.epoch(),
+          stateStore.whenRevisionReached(
+              outcome.revision(),
               () -> {
                 queue.addAll(batch);
                 flush();
--- a/src/main/java/gladeknot/jobs/JobSpec.java
+++ b/src/main/java/gladeknot/jobs/JobSpec.java
@@ -1,6 +1,6 @@
 package gladeknot.jobs;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
@@ -17,23 +17,23 @@
     String jobClass,
     String team,
     Shape shape,
-    Rank rank,
+    Priority priority,
     int tasks,
     long cpus,
     long gpus,
     long memory,
     String image,
     double imageGb,
-    List<String> types,
+    List<String> machineTypes,
     String zone,
-    boolean together,
-    boolean scatter,
-    boolean spot,
-    long guessMicros,
-    long snapshotMicros,
-    long flushMicros,
-    long dueMicros,
-    List<String> waitsOn) {
+    boolean colocated,
+    boolean spread,
+    boolean spotAllowed,
+    long estimatedRunMicros,
+    long checkpointIntervalMicros,
+    long checkpointMicros,
+    long deadlineMicros,
+    List<String> dependencies) {
 
   /** How a job's tasks belong together. */
   public enum Shape {
@@ -43,7 +43,7 @@
   }
 
   /** Priorities, the highest first. */
-  public enum Rank {
+  public enum Priority {
     PROD,
     HIGH,
     NORMAL,
@@ -69,26 +69,26 @@
   }
 
   /** Whether its tasks stay whole in one slice. */
-  public boolean whole() {
+  public boolean unsplit() {
     return shape != Shape.ARRAY;
   }
 
   /** How many of its tasks may be in one zone. */
-  public int perZone() {
-    return scatter ? (tasks + 1) / 2 : tasks;
+  public int maxPerZone() {
+    return spread ? (tasks + 1) / 2 : tasks;
   }
 
   /** Whether another of its tasks may go to a zone, given how many are in each. */
-  public boolean zoneOpen(String inZone, Map<String, Integer> counts) {
-    return (!scatter || counts.getOrDefault(inZone, 0) < perZone())
-        && (!together || counts.isEmpty() || counts.containsKey(inZone));
+  public boolean allowsZone(String inZone, Map<String, Integer> counts) {
+    return (!spread || counts.getOrDefault(inZone, 0) < maxPerZone())
+        && (!colocated || counts.isEmpty() || counts.containsKey(inZone));
   }
 
   /** Whether its tasks may be on a machine of a type, in a zone, spot or not. */
-  public boolean allows(String type, String inZone, boolean isSpot) {
-    return (types == null || types.contains(type))
+  public boolean allowsMachine(String type, String inZone, boolean isSpot) {
+    return (machineTypes == null || machineTypes.contains(type))
         && (zone == null || zone.equals(inZone))
-        && (spot || !isSpot);
+        && (spotAllowed || !isSpot);
   }
 
   /** Reads a submission. */
@@ -106,12 +106,12 @@
           default -> throw new MalformedJobException("shape: unknown " + shapeName);
         };
     String rankName = text(m, "rank");
-    Rank rank =
+    Priority rank =
         switch (rankName) {
-          case "prod" -> Rank.PROD;
-          case "high" -> Rank.HIGH;
-          case "normal" -> Rank.NORMAL;
-          case "idle" -> Rank.IDLE;
+          case "prod" -> Priority.PROD;
+          case "high" -> Priority.HIGH;
+          case "normal" -> Priority.NORMAL;
+          case "idle" -> Priority.IDLE;
           default -> throw new MalformedJobException("rank: unknown " + rankName);
         };
     Object strands = m.get("strands");
@@ -151,24 +151,24 @@
             "owner", team,
             "shape",
                 shape == Shape.GANG ? "ensemble" : shape.name().toLowerCase(java.util.Locale.ROOT),
-            "rank", rank.name().toLowerCase(java.util.Locale.ROOT),
+            "rank", priority.name().toLowerCase(java.util.Locale.ROOT),
             "strands", tasks,
             "cores", cpus / 1000.0,
             "accelerators", gpus / 1000.0,
             "memoryGb", memory / 1000.0,
             "bundle", image,
             "sizeGb", imageGb,
-            "hosttypes", types,
+            "hosttypes", machineTypes,
             "glade", zone,
-            "together", together,
-            "scatter", scatter,
-            "loaners", spot,
-            "guessS", guessMicros / 1e6,
-            "snapshotS", snapshotMicros / 1e6,
-            "flushS", flushMicros / 1e6,
-            "dueS", dueMicros == 0 ? null : dueMicros / 1e6);
-    if (!waitsOn.isEmpty()) {
-      map.put("waitsOn", waitsOn);
+            "together", colocated,
+            "scatter", spread,
+            "loaners", spotAllowed,
+            "guessS", estimatedRunMicros / 1e6,
+            "snapshotS", checkpointIntervalMicros / 1e6,
+            "flushS", checkpointMicros / 1e6,
+            "dueS", deadlineMicros == 0 ? null : deadlineMicros / 1e6);
+    if (!dependencies.isEmpty()) {
+      map.put("waitsOn", dependencies);
     }
     return map;
   }
--- a/src/main/java/gladeknot/http/Json.java
+++ b/src/main/java/gladeknot/json/Json.java
@@ -1,4 +1,4 @@
-package gladeknot.http;
+package gladeknot.json;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
--- a/src/main/java/gladeknot/placement/TaskKiller.java
+++ b/src/main/java/gladeknot/lifecycle/KillDispatcher.java
@@ -1,10 +1,11 @@
-package gladeknot.placement;
+package gladeknot.lifecycle;
 
-import gladeknot.connectivity.OrderKind;
-import gladeknot.http.Json;
-import gladeknot.http.Outbox;
+import gladeknot.connectivity.ControlAction;
+import gladeknot.json.Json;
 import gladeknot.membership.Membership;
-import gladeknot.workers.Report;
+import gladeknot.outbox.Outbox;
+import gladeknot.tasks.Attempt;
+import gladeknot.workers.Heartbeat;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
 import java.util.ArrayList;
@@ -19,7 +20,7 @@
  * reach us, or is out of reach when the end of its task is decided, gets it as soon as it can. Each
  * kill also goes with the answers to the machine's reports; this is the shorter way, not the proof.
  */
-final class TaskKiller {
+final class KillDispatcher {
   private static final long CALL_MICROS = 3_000_000;
 
   /** Between two tries at one machine. */
@@ -29,7 +30,7 @@
    * How many calls may be open: silent machines must not use up the sockets. However many machines
    * there are, the others wait for a second or two, and get their kills with their reports too.
    */
-  private static final int MOST_OPEN = 40;
+  private static final int MAX_OPEN = 40;
 
   /** What waits for one machine. */
   private static final class PendingKills {
@@ -46,7 +47,7 @@
   private int open;
   private long nowMicros;
 
-  TaskKiller(Membership membership, WorkerRegistry workers, Outbox outbox) {
+  KillDispatcher(Membership membership, WorkerRegistry workers, Outbox outbox) {
     this.membership = membership;
     this.workers = workers;
     this.outbox = outbox;
@@ -73,7 +74,7 @@
       e.attempts.removeIf(a -> !wanted(a));
       if (e.attempts.isEmpty()) {
         pending.remove(entry.getKey());
-      } else if (open < MOST_OPEN) {
+      } else if (open < MAX_OPEN) {
         send(entry.getKey(), e);
       }
     }
@@ -81,7 +82,7 @@
 
   /** Whether an attempt is still ours to stop. */
   private boolean wanted(Attempt a) {
-    return !a.closed && a.killed() && membership.owned().contains(a.slice().shard());
+    return !a.closed() && a.killRequested() && membership.ownedShards().contains(a.slice().shard());
   }
 
   private void send(String host, PendingKills e) {
@@ -91,9 +92,9 @@
     if (endpoint == null) {
       return;
     }
-    Report last = w.report();
+    Heartbeat last = w.heartbeat();
     if (last != null) {
-      e.tenure = Math.max(e.tenure, last.tenure());
+      e.tenure = Math.max(e.tenure, last.incarnation());
     }
     if (e.tenure == 0) {
       // It has never reported to us: its session is asked for first.
@@ -105,13 +106,14 @@
     long term = -1;
     for (Attempt a : e.attempts) {
       int shard = a.slice().shard();
-      OrderKind kind = a.overdue ? OrderKind.KILL_OVERDUE : OrderKind.KILL;
+      ControlAction kind = a.jobFinished() ? ControlAction.KILL_CANCELLED : ControlAction.KILL;
       if (!membership.permits(kind, shard)) {
         // Only the end of a job that is over is sure to be wanted, whoever acts for the shard.
         continue;
       }
       term = Math.max(term, membership.term(shard));
-      orders.add(Scheduler.order("kill", a.name(), a.number(), a.graceLeftS(nowMicros)));
+      orders.add(
+          TaskLifecycle.command("kill", a.name(), a.number(), a.remainingGraceSeconds(nowMicros)));
       carried.add(a);
     }
     if (orders.isEmpty()) {
@@ -151,7 +153,7 @@
         reply -> {
           e.open = false;
           open--;
-          h.on(reply);
+          h.onReply(reply);
         });
   }
 
--- a/src/main/java/gladeknot/placement/RecalledMachines.java
+++ b/src/main/java/gladeknot/lifecycle/SpotReclaims.java
@@ -1,9 +1,12 @@
-package gladeknot.placement;
+package gladeknot.lifecycle;
 
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec;
 import gladeknot.membership.Membership;
+import gladeknot.scheduling.Preemption;
+import gladeknot.tasks.Attempt;
+import gladeknot.tasks.RuntimeEstimates;
 import gladeknot.workers.Worker;
 import gladeknot.workers.WorkerRegistry;
 import java.util.List;
@@ -15,7 +18,7 @@
  * surely lapsed; one that has been stopped and reported may at once. Tasks that can't end in time
  * and save nothing are stopped as soon as that is clear, all others at the last moment.
  */
-final class RecalledMachines {
+final class SpotReclaims {
   /** What a stop takes: the command's way, the task's end, the report of it. */
   private static final long STOP_MICROS = 2_000_000;
 
@@ -25,10 +28,10 @@
   private final Membership membership;
   private final JobRegistry jobs;
   private final WorkerRegistry workers;
-  private final Estimates estimates;
+  private final RuntimeEstimates estimates;
 
-  RecalledMachines(
-      Membership membership, JobRegistry jobs, WorkerRegistry workers, Estimates estimates) {
+  SpotReclaims(
+      Membership membership, JobRegistry jobs, WorkerRegistry workers, RuntimeEstimates estimates) {
     this.membership = membership;
     this.jobs = jobs;
     this.workers = workers;
@@ -42,11 +45,11 @@
 
   /** Stops what is due on the machines of a shard that is ours. */
   void drain(int shard, long nowMicros, Stopper stopper) {
-    for (Worker worker : workers.of(shard)) {
-      if (worker.recallAtMicros() == 0) {
+    for (Worker worker : workers.inShard(shard)) {
+      if (worker.reclaimAtMicros() == 0) {
         continue;
       }
-      long left = worker.recallAtMicros() - nowMicros;
+      long left = worker.reclaimAtMicros() - nowMicros;
       for (Attempt attempt : List.copyOf(worker.attempts().values())) {
         Job job = jobs.active(attempt.slice().job());
         if (job != null && running(attempt) && due(attempt, job.spec(), left, nowMicros)) {
@@ -57,20 +60,20 @@
   }
 
   private boolean running(Attempt attempt) {
-    return attempt.committed
-        && !attempt.closed
-        && !attempt.killed()
-        && membership.owned().contains(attempt.slice().shard());
+    return attempt.committed()
+        && !attempt.closed()
+        && !attempt.killRequested()
+        && membership.ownedShards().contains(attempt.slice().shard());
   }
 
   private boolean due(Attempt attempt, JobSpec spec, long leftMicros, long nowMicros) {
-    if (leftMicros <= STOP_MICROS + spec.flushMicros()) {
+    if (leftMicros <= STOP_MICROS + spec.checkpointMicros()) {
       return true;
     }
-    if (spec.shape() != JobSpec.Shape.ARRAY || spec.snapshotMicros() > 0) {
+    if (spec.shape() != JobSpec.Shape.ARRAY || spec.checkpointIntervalMicros() > 0) {
       return false;
     }
-    long ran = attempt.runningSinceMicros == 0 ? 0 : nowMicros - attempt.runningSinceMicros;
+    long ran = attempt.runningSinceMicros() == 0 ? 0 : nowMicros - attempt.runningSinceMicros();
     return estimates.runMicros(spec) - ran > leftMicros * SURELY_LATE;
   }
 
@@ -81,8 +84,8 @@
       stopper.stop(attempt, graceS);
       return;
     }
-    for (Attempt member : List.copyOf(attempt.slice().out.values())) {
-      if (member.committed && !member.closed && !member.killed()) {
+    for (Attempt member : List.copyOf(attempt.slice().attemptsByTask().values())) {
+      if (member.committed() && !member.closed() && !member.killRequested()) {
         stopper.stop(member, graceS);
       }
     }
--- a/src/main/java/gladeknot/membership/LeaseDelegations.java
+++ b/src/main/java/gladeknot/membership/LeaseDelegations.java
@@ -1,10 +1,10 @@
 package gladeknot.membership;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Result;
-import gladeknot.state.StateStore.Write;
+import gladeknot.state.StateStore.CommitStatus;
+import gladeknot.state.StateStore.Mutation;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -23,7 +23,7 @@
   private static final String FIELD_TERM = "term";
 
   /** How many such entries one controller makes for one term. */
-  private static final int MOST_ENTRIES = 2;
+  private static final int MAX_ENTRIES = 2;
 
   private final Settings settings;
   private final StateStore stateStore;
@@ -62,13 +62,13 @@
   }
 
   /** The stamp of the newest entry by which another controller acts as a shard's delegate. */
-  long stamp(int shard) {
+  long revision(int shard) {
     return seenStamp[shard];
   }
 
   /** Until when another controller may renew the leases of a shard's workers. */
   long untilMicros(int shard) {
-    long stamp = stateStore.stamp(key(shard));
+    long stamp = stateStore.modRevision(key(shard));
     if (stamp != seenStamp[shard]) {
       seenStamp[shard] = stamp;
       seenUntilMicros[shard] = times.delegatedUntilMicros(nowMicros);
@@ -99,7 +99,7 @@
       ownEntries[shard] = 0;
       ownUntilMicros[shard] = 0;
     }
-    if (ownEntries[shard] >= MOST_ENTRIES || !stateStore.takeWrites(1, 0)) {
+    if (ownEntries[shard] >= MAX_ENTRIES || !stateStore.tryAcquireWrites(1, 0)) {
       then.accept(false);
       return;
     }
@@ -108,11 +108,14 @@
     String shardKey = Membership.shardKey(shard);
     String aliveKey = StateLease.key(settings.node());
     stateStore.commit(
-        Map.of(shardKey, stateStore.stamp(shardKey), aliveKey, stateStore.stamp(aliveKey)),
-        List.of(Write.put(key(shard), Json.of(FIELD_DELEGATE, settings.node(), FIELD_TERM, term))),
+        Map.of(
+            shardKey, stateStore.modRevision(shardKey), aliveKey, stateStore.modRevision(aliveKey)),
+        List.of(
+            Mutation.put(key(shard), Json.of(FIELD_DELEGATE, settings.node(), FIELD_TERM, term))),
         outcome -> {
           boolean done =
-              outcome.result() == Result.DONE && term == Membership.term(stateStore, shard);
+              outcome.status() == CommitStatus.COMMITTED
+                  && term == Membership.term(stateStore, shard);
           if (done) {
             LOG.info("cares for the workers of shard {} under term {}", shard, term);
             ownUntilMicros[shard] = times.delegateUntilMicros(sent);
--- a/src/main/java/gladeknot/membership/LeaseTimes.java
+++ b/src/main/java/gladeknot/membership/LeaseTimes.java
@@ -16,7 +16,7 @@
   private static final double DRIFT = 0.001;
 
   /** For a kill on its way, and for answers that were given at the last moment. */
-  private static final long LEAST_MARGIN_MICROS = 3_000_000;
+  private static final long MIN_MARGIN_MICROS = 3_000_000;
 
   /** Timers fire late by a little: nothing is done in the last moment of a lease. */
   private static final long GUARD_MICROS = 50_000;
@@ -29,7 +29,7 @@
 
   /** The wanted state lease, or as much of it as the time of a cancellation allows. */
   public static LeaseTimes of(Settings.Workers workers, long wantedMicros) {
-    long most = workers.cancelMicros() - workers.leaseMicros() - LEAST_MARGIN_MICROS;
+    long most = workers.cancelMicros() - workers.leaseMicros() - MIN_MARGIN_MICROS;
     return new LeaseTimes(
         Math.min(wantedMicros, most), workers.leaseMicros(), workers.cancelMicros());
   }
@@ -44,7 +44,7 @@
   }
 
   /** After how long without an answer a worker's lease has lapsed, by any clock. */
-  public long lapsedAfterMicros() {
+  public long expiredAfterMicros() {
     return (long) (workerLeaseMicros * (1 + 1.5 * DRIFT)) + LAPSE_MARGIN_MICROS;
   }
 
--- a/src/main/java/gladeknot/membership/Membership.java
+++ b/src/main/java/gladeknot/membership/Membership.java
@@ -1,9 +1,9 @@
 package gladeknot.membership;
 
 import gladeknot.connectivity.Authority;
-import gladeknot.connectivity.OrderKind;
-import gladeknot.connectivity.OwnerAdvisor;
-import gladeknot.http.Json;
+import gladeknot.connectivity.ControlAction;
+import gladeknot.connectivity.FailoverAdvisor;
+import gladeknot.json.Json;
 import gladeknot.policy.Policy;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
@@ -34,24 +34,24 @@
   /** Hears when a shard begins and ceases to be ours. */
   public interface Listener {
     /** Ours now, under a new term or after an unclear commit: read its slices anew. */
-    void gained(int shard);
+    void onAcquired(int shard);
 
-    void lost(int shard);
+    void onReleased(int shard);
 
     /** Whether most of a shard's workers have fallen silent. */
-    boolean silent(int shard);
+    boolean mostWorkersTimedOut(int shard);
   }
 
   private final List<String> nodes;
   private final int home;
   private final StateStore stateStore;
   private final LeaseTimes times;
-  private final ClusterFormat format;
+  private final StorageFormat format;
   private final StateLease lease;
   private final LeaseDelegations delegations;
   private final Authority authority;
   private final OwnedShards shards;
-  private final ShardMover mover;
+  private final ShardTransfers mover;
   private long nowMicros;
 
   /** A member that has no lease and owns no shard yet. */
@@ -60,27 +60,27 @@
       Policy policy,
       StateStore stateStore,
       Authority.StateLink stateLink,
-      OwnerAdvisor advisor,
+      FailoverAdvisor advisor,
       Listener listener) {
     this.nodes = settings.nodes();
     this.home = nodes.indexOf(settings.node());
     this.stateStore = stateStore;
-    this.format = new ClusterFormat(settings, stateStore, stateStore.limits());
+    this.format = new StorageFormat(settings, stateStore, stateStore.limits());
     this.times = LeaseTimes.of(settings.workers(), policy.micros(Policy.Name.STATE_LEASE));
     this.shards = new OwnedShards(nodes.size(), stateStore, listener);
     this.lease = new StateLease(settings, stateStore, times, advisor, shards::dropAll);
     this.delegations = new LeaseDelegations(settings, stateStore, times);
     this.authority = new Authority(this, stateLink);
     this.mover =
-        new ShardMover(
+        new ShardTransfers(
             settings, stateStore, lease, delegations, shards, authority, advisor, listener);
   }
 
-  public int shards() {
+  public int shardCount() {
     return nodes.size();
   }
 
-  public int home() {
+  public int homeShard() {
     return home;
   }
 
@@ -89,7 +89,7 @@
   }
 
   /** The format in which records are stored. */
-  public ClusterFormat format() {
+  public StorageFormat format() {
     return format;
   }
 
@@ -98,19 +98,19 @@
   }
 
   /** Tells the time by which what follows is judged. */
-  public void now(long micros) {
+  public void setTime(long micros) {
     nowMicros = micros;
     lease.now(micros);
     delegations.now(micros);
   }
 
   /** Whether this controller's lease surely holds, so that it may act for its shards. */
-  public boolean entitled() {
+  public boolean mayAct() {
     return lease.entitled();
   }
 
   /** Whether an order of some kind may be given for a shard now. */
-  public boolean permits(OrderKind kind, int shard) {
+  public boolean permits(ControlAction kind, int shard) {
     return authority.permits(kind, shard);
   }
 
@@ -121,7 +121,7 @@
 
   @Override
   public boolean leaseHolds(int shard) {
-    return shards.held(shard) && entitled();
+    return shards.held(shard) && mayAct();
   }
 
   @Override
@@ -140,7 +140,7 @@
    */
   @Override
   public boolean copyFresh() {
-    return nowMicros - stateStore.freshMicros() < times.stateLeaseMicros() / FRESH_PART;
+    return nowMicros - stateStore.currentAsOfMicros() < times.stateLeaseMicros() / FRESH_PART;
   }
 
   /** This life of this controller: the number of its state lease. */
@@ -148,12 +148,12 @@
     return lease.incarnation();
   }
 
-  public Set<Integer> owned() {
+  public Set<Integer> ownedShards() {
     return shards.all();
   }
 
   /** Since when a shard has been ours. */
-  public long sinceMicros(int shard) {
+  public long ownedSinceMicros(int shard) {
     return shards.sinceMicros(shard);
   }
 
@@ -180,7 +180,7 @@
   }
 
   /** The highest term that a shard of ours may have, by what was written without an answer. */
-  public long mostTerm(int shard) {
+  public long highestTerm(int shard) {
     return shards.mostTerm(shard);
   }
 
@@ -198,7 +198,7 @@
     shards.relinquish(shard);
   }
 
-  public int liveNodes() {
+  public int liveMemberCount() {
     return Math.max(1, StateLease.aliveCount(stateStore));
   }
 
@@ -208,8 +208,8 @@
   }
 
   /** The stamp of the newest entry by which another controller acts as a shard's delegate. */
-  public long delegationStamp(int shard) {
-    return delegations.stamp(shard);
+  public long delegationRevision(int shard) {
+    return delegations.revision(shard);
   }
 
   /** Until when another controller may renew the leases of a shard's workers. */
@@ -218,8 +218,8 @@
   }
 
   /** Whether this controller may renew the leases of a shard's workers in its owner's place. */
-  public boolean delegateFor(int shard) {
-    return entitled() && delegations.holds(shard, term(shard)) && !shards.contains(shard);
+  public boolean isDelegateFor(int shard) {
+    return mayAct() && delegations.holds(shard, term(shard)) && !shards.contains(shard);
   }
 
   /**
@@ -228,7 +228,7 @@
    * workers are silent.
    */
   public void becomeDelegate(int shard, Consumer<Boolean> then) {
-    if (entitled()) {
+    if (mayAct()) {
       delegations.enter(shard, term(shard), then);
     } else {
       then.accept(false);
@@ -236,18 +236,18 @@
   }
 
   /** A commit for a shard got no answer: nothing more goes until a new stamp makes it void. */
-  public void unclear(int shard) {
+  public void markInDoubt(int shard) {
     shards.doubt(shard);
   }
 
   /** A worker of the shard has seen a higher token than its term. */
-  public void raise(int shard) {
-    unclear(shard);
+  public void raiseTerm(int shard) {
+    markInDoubt(shard);
   }
 
   /** Renews the lease, reads, and moves shards one step, each when it is time. */
   public void tick(long now) {
-    now(now);
+    setTime(now);
     if (!stateStore.loaded()) {
       return;
     }
--- a/src/main/java/gladeknot/membership/OwnedShards.java
+++ b/src/main/java/gladeknot/membership/OwnedShards.java
@@ -122,7 +122,7 @@
   boolean gain(int shard, long nowMicros) {
     boolean added = owned.add(shard);
     sinceMicros[shard] = nowMicros;
-    listener.gained(shard);
+    listener.onAcquired(shard);
     return added;
   }
 
@@ -131,7 +131,7 @@
       yielding.remove(shard);
       inDoubt.remove(shard);
       LOG.info("shard {} is no longer ours", shard);
-      listener.lost(shard);
+      listener.onReleased(shard);
     }
   }
 
--- a/src/main/java/gladeknot/membership/ShardMover.java
+++ b/src/main/java/gladeknot/membership/ShardTransfers.java
@@ -1,14 +1,14 @@
 package gladeknot.membership;
 
 import gladeknot.connectivity.Authority;
-import gladeknot.connectivity.OrderKind;
-import gladeknot.connectivity.OwnerAdvisor;
-import gladeknot.http.Json;
+import gladeknot.connectivity.ControlAction;
+import gladeknot.connectivity.FailoverAdvisor;
+import gladeknot.json.Json;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Outcome;
-import gladeknot.state.StateStore.Result;
-import gladeknot.state.StateStore.Write;
+import gladeknot.state.StateStore.CommitOutcome;
+import gladeknot.state.StateStore.CommitStatus;
+import gladeknot.state.StateStore.Mutation;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -21,8 +21,8 @@
  * its home or to who reaches its workers by the present owner, or to any once the owner's liveness
  * key is gone or the owner has yielded it.
  */
-final class ShardMover {
-  private static final Logger LOG = LoggerFactory.getLogger(ShardMover.class);
+final class ShardTransfers {
+  private static final Logger LOG = LoggerFactory.getLogger(ShardTransfers.class);
 
   private static final String TERM = StateStore.ROOT + "term";
   private static final String FIELD_COUNTER = "n";
@@ -48,7 +48,7 @@
   private final LeaseDelegations delegations;
   private final OwnedShards shards;
   private final Authority authority;
-  private final OwnerAdvisor advisor;
+  private final FailoverAdvisor advisor;
   private final Membership.Listener listener;
   private final long[] lapsedSince;
   private final long[] keepUntilMicros;
@@ -56,14 +56,14 @@
   private long nextMoveMicros;
   private long nowMicros;
 
-  ShardMover(
+  ShardTransfers(
       Settings settings,
       StateStore stateStore,
       StateLease lease,
       LeaseDelegations delegations,
       OwnedShards shards,
       Authority authority,
-      OwnerAdvisor advisor,
+      FailoverAdvisor advisor,
       Membership.Listener listener) {
     this.settings = settings;
     this.nodes = settings.nodes();
@@ -121,7 +121,7 @@
 
   private boolean yieldedToUs(int shard, StateStore.Entry entry) {
     long incarnation = Json.num(entry.data(), Membership.FIELD_INCARNATION, 0);
-    return advisor.yieldedToUs(shard, incarnation, Membership.term(stateStore, shard));
+    return advisor.yieldedToThisNode(shard, incarnation, Membership.term(stateStore, shard));
   }
 
   private boolean takeOver(int shard, StateStore.Entry entry, Map<String, Long> alsoIf) {
@@ -141,7 +141,7 @@
     }
     String heir = reachingDelegate(shard);
     if (heir == null) {
-      heir = advisor.heir(shard);
+      heir = advisor.preferredOwner(shard);
     }
     if (heir == null && mayGoHome(shard)) {
       heir = nodes.get(shard);
@@ -157,7 +157,7 @@
         entry,
         heir,
         Json.num(heirAlive.data(), Membership.FIELD_INCARNATION, 0),
-        Map.of(StateLease.key(heir), heirAlive.stamp()))) {
+        Map.of(StateLease.key(heir), heirAlive.modRevision()))) {
       shards.beginYielding(shard);
     }
     return true;
@@ -176,25 +176,26 @@
     }
     int place = Math.floorMod(home - shard - 1, nodes.size());
     long wait = TAKE_MICROS + TAKE_STEP_MICROS * (place + shards.all().size());
-    return nowMicros - lapsedSince[shard] >= wait + advisor.takeDelayMicros(shard);
+    return nowMicros - lapsedSince[shard] >= wait + advisor.failoverDelayMicros(shard);
   }
 
   private boolean take(
       int shard, StateStore.Entry entry, String to, long inc, Map<String, Long> alsoIf) {
-    if (!authority.permits(OrderKind.MOVE_SHARD, shard) || !stateStore.takeWrites(2, 0)) {
+    if (!authority.permits(ControlAction.TRANSFER_SHARD, shard)
+        || !stateStore.tryAcquireWrites(2, 0)) {
       return false;
     }
     StateStore.Entry counter = stateStore.get(TERM);
     long drawn = counter == null ? 0 : Json.num(counter.data(), FIELD_COUNTER, 0);
     long term = shards.nextTerm(shard, drawn);
     Map<String, Long> conditions = new LinkedHashMap<>(alsoIf);
-    conditions.put(Membership.shardKey(shard), entry == null ? 0 : entry.stamp());
-    conditions.put(TERM, counter == null ? 0 : counter.stamp());
+    conditions.put(Membership.shardKey(shard), entry == null ? 0 : entry.modRevision());
+    conditions.put(TERM, counter == null ? 0 : counter.modRevision());
     // A former life's or a lapsed life's write must not take anything: the lease must stand.
-    conditions.put(lease.ownKey(), stateStore.stamp(lease.ownKey()));
-    List<Write> writes = new ArrayList<>();
+    conditions.put(lease.ownKey(), stateStore.modRevision(lease.ownKey()));
+    List<Mutation> writes = new ArrayList<>();
     writes.add(
-        Write.put(
+        Mutation.put(
             Membership.shardKey(shard),
             Json.of(
                 Membership.FIELD_OWNER,
@@ -203,33 +204,33 @@
                 inc,
                 Membership.FIELD_TERM,
                 term)));
-    writes.add(Write.put(TERM, Json.of(FIELD_COUNTER, term)));
+    writes.add(Mutation.put(TERM, Json.of(FIELD_COUNTER, term)));
     moving = true;
     stateStore.commit(conditions, writes, outcome -> moved(outcome, shard, to, inc, term));
     return true;
   }
 
-  private void moved(Outcome outcome, int shard, String to, long inc, long term) {
-    switch (outcome.result()) {
-      case DONE -> {
+  private void moved(CommitOutcome outcome, int shard, String to, long inc, long term) {
+    switch (outcome.status()) {
+      case COMMITTED -> {
         LOG.info("shard {} now with {} under term {}", shard, to, term);
         shards.wrote(shard, term);
         moving = false;
         if (to.equals(settings.node())) {
           // Earlier commits of unclear fate are void now; wait until the copy holds all.
           moving = true;
-          stateStore.whenAt(outcome.epoch(), () -> taken(shard, inc));
+          stateStore.whenRevisionReached(outcome.revision(), () -> taken(shard, inc));
         } else {
           shards.drop(shard);
         }
       }
       case CONFLICT -> {
         moving = true;
-        stateStore.whenAt(outcome.epoch(), () -> moving = false);
+        stateStore.whenRevisionReached(outcome.revision(), () -> moving = false);
       }
       default -> {
         moving = false;
-        if (outcome.result() == Result.UNKNOWN) {
+        if (outcome.status() == CommitStatus.UNKNOWN) {
           shards.doubt(shard);
         }
         nextMoveMicros = nowMicros + STEP_MICROS;
@@ -262,6 +263,6 @@
   /** The delegate of a shard, which could take it, if most of its workers are silent here. */
   private String reachingDelegate(int shard) {
     String delegate = delegations.delegate(shard, Membership.term(stateStore, shard));
-    return delegate != null && listener.silent(shard) ? delegate : null;
+    return delegate != null && listener.mostWorkersTimedOut(shard) ? delegate : null;
   }
 }
--- a/src/main/java/gladeknot/membership/StateLease.java
+++ b/src/main/java/gladeknot/membership/StateLease.java
@@ -1,11 +1,11 @@
 package gladeknot.membership;
 
-import gladeknot.connectivity.OwnerAdvisor;
-import gladeknot.http.Json;
+import gladeknot.connectivity.FailoverAdvisor;
+import gladeknot.json.Json;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Result;
-import gladeknot.state.StateStore.Write;
+import gladeknot.state.StateStore.CommitStatus;
+import gladeknot.state.StateStore.Mutation;
 import java.util.List;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -32,7 +32,7 @@
   private final LeaseTimes times;
   private final String node;
   private final String ownKey;
-  private final OwnerAdvisor advisor;
+  private final FailoverAdvisor advisor;
   private final Runnable lost;
 
   private long grant;
@@ -49,7 +49,7 @@
       Settings settings,
       StateStore stateStore,
       LeaseTimes times,
-      OwnerAdvisor advisor,
+      FailoverAdvisor advisor,
       Runnable lost) {
     this.advisor = advisor;
     this.stateStore = stateStore;
@@ -71,7 +71,7 @@
 
   /** How many controllers are alive as far as the copy tells. */
   static int aliveCount(StateStore stateStore) {
-    return stateStore.under(KEYS).size();
+    return stateStore.withPrefix(KEYS).size();
   }
 
   void now(long micros) {
@@ -96,7 +96,7 @@
   boolean entitled() {
     return alive
         && announced()
-        && nowMicros < times.actsUntilMicros(renewedMicros, stateStore.freshMicros());
+        && nowMicros < times.actsUntilMicros(renewedMicros, stateStore.currentAsOfMicros());
   }
 
   /** Whether the liveness key is there under the present lease, as far as the copy tells. */
@@ -134,7 +134,7 @@
       // The copy must be known to be current for as long as the lease is to hold: a lease that
       // is renewed while the watch is stuck would hide a cancellation or a takeover.
       nextReadMicros = nowMicros + intervalMicros();
-      stateStore.barrier(
+      stateStore.readBarrier(
           () -> {}, () -> nextReadMicros = Math.min(nextReadMicros, nowMicros + READ_RETRY_MICROS));
     }
   }
@@ -151,7 +151,7 @@
   private void request() {
     long sent = nowMicros;
     alive = false;
-    stateStore.urgent(
+    stateStore.callUnthrottled(
         "POST",
         "/holds",
         Json.of("ttlMs", times.stateLeaseMicros() / 1000),
@@ -170,7 +170,7 @@
   private void extend() {
     long sent = nowMicros;
     long extended = grant;
-    stateStore.urgent(
+    stateStore.callUnthrottled(
         "POST",
         "/holds/" + grant + "/extend",
         null,
@@ -216,20 +216,20 @@
         Json.of(
             Membership.FIELD_INCARNATION,
             with,
-            ClusterFormat.FIELD_FORMAT,
-            ClusterFormat.ANNOUNCED);
-    Write write = new Write(ownKey, data, with);
-    stateStore.takeWrites(1, 0);
+            StorageFormat.FIELD_FORMAT,
+            StorageFormat.ANNOUNCED);
+    Mutation write = new Mutation(ownKey, data, with);
+    stateStore.tryAcquireWrites(1, 0);
     stateStore.commit(
-        Map.of(ownKey, stateStore.stamp(ownKey)),
+        Map.of(ownKey, stateStore.modRevision(ownKey)),
         List.of(write),
         outcome -> {
-          if (outcome.result() == Result.DONE && with == grant) {
+          if (outcome.status() == CommitStatus.COMMITTED && with == grant) {
             settle(with);
             return;
           }
           announcing = false;
-          if (outcome.result() == Result.BAD && with == grant) {
+          if (outcome.status() == CommitStatus.REJECTED && with == grant) {
             grant = 0;
             nextRenewMicros = nowMicros;
           } else {
@@ -240,7 +240,7 @@
 
   /** The key is up; what others did while it was not must be in the copy before we act. */
   private void settle(long with) {
-    stateStore.barrier(
+    stateStore.readBarrier(
         () -> {
           announcing = false;
           if (with == grant && announced()) {
--- a/src/main/java/gladeknot/membership/ClusterFormat.java
+++ b/src/main/java/gladeknot/membership/StorageFormat.java
@@ -1,9 +1,9 @@
 package gladeknot.membership;
 
-import gladeknot.http.Json;
+import gladeknot.json.Json;
 import gladeknot.settings.Settings;
 import gladeknot.state.StateStore;
-import gladeknot.state.StateStore.Write;
+import gladeknot.state.StateStore.Mutation;
 import gladeknot.state.TransactionLimits;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -21,8 +21,8 @@
  * conditional on a shard's key that has changed since. Whoever writes slices does so on condition
  * of the mark's stamp.
  */
-public final class ClusterFormat {
-  private static final Logger LOG = LoggerFactory.getLogger(ClusterFormat.class);
+public final class StorageFormat {
+  private static final Logger LOG = LoggerFactory.getLogger(StorageFormat.class);
 
   /** The format that this version announces. */
   static final int ANNOUNCED = 2;
@@ -37,21 +37,21 @@
   private static final long GROW_MICROS = 10_000_000;
 
   /** Keeps part numbers small; with it a shard holds some hundred thousand tasks at once. */
-  private static final int MOST_SPLIT = 256;
+  private static final int MAX_SPLIT = 256;
 
   private final List<String> nodes;
   private final boolean firstMember;
   private final StateStore stateStore;
   private final TransactionLimits limits;
   private StateStore.Entry seen;
-  private int partSplit = 1;
+  private int segmentSplit = 1;
   private boolean writing;
-  private boolean partsFull;
+  private boolean segmentFull;
   private long nextMicros;
   private long nextGrowMicros;
 
   /** The format as the copy shows it; without a mark it is the first version's. */
-  public ClusterFormat(Settings settings, StateStore stateStore, TransactionLimits limits) {
+  public StorageFormat(Settings settings, StateStore stateStore, TransactionLimits limits) {
     this.nodes = settings.nodes();
     this.firstMember = nodes.get(0).equals(settings.node());
     this.stateStore = stateStore;
@@ -63,15 +63,15 @@
   }
 
   /** Takes the mark in from the copy: it is asked for far too often to be looked up each time. */
-  public void changed() {
+  public void onChange() {
     seen = stateStore.get(KEY);
-    partsFull = false;
-    partSplit = seen == null ? 1 : (int) Math.max(1, Json.num(seen.data(), FIELD_SPLIT, 1));
+    segmentFull = false;
+    segmentSplit = seen == null ? 1 : (int) Math.max(1, Json.num(seen.data(), FIELD_SPLIT, 1));
   }
 
   /** The stamp of the mark that the other methods tell of; 0 while there is none. */
-  public long stamp() {
-    return seen == null ? 0 : seen.stamp();
+  public long revision() {
+    return seen == null ? 0 : seen.modRevision();
   }
 
   /** Whether all members are known to run this version or a later one. */
@@ -80,22 +80,22 @@
   }
 
   /** Into how many parts each of the first version's parts of a shard's record is split. */
-  public int partSplit() {
-    return partSplit;
+  public int segmentSplit() {
+    return segmentSplit;
   }
 
   /**
    * Notes that a part of a shard's record has no room for tasks that there are machines for: how
    * many tasks can run must not be bounded by the largest value of the state service.
    */
-  public void partsFull() {
-    partsFull = true;
+  public void reportSegmentFull() {
+    segmentFull = true;
   }
 
   /** Commits the mark once it may be; the first member by name does. */
   void tick(long nowMicros) {
     if (agreed()) {
-      limits.allMembersCurrent();
+      limits.onAllMembersUpgraded();
       splitFullParts(nowMicros);
     }
     if (!firstMember || writing || nowMicros < nextMicros || !wanted()) {
@@ -103,24 +103,24 @@
     }
     nextMicros = nowMicros + STEP_MICROS;
     Map<String, Long> conditions = allCurrent();
-    if (conditions == null || !stateStore.takeWrites(1, 0)) {
+    if (conditions == null || !stateStore.tryAcquireWrites(1, 0)) {
       return;
     }
-    conditions.put(KEY, stamp());
-    write(limits.wantedPartSplit(), conditions);
+    conditions.put(KEY, revision());
+    write(limits.targetSegmentSplit(), conditions);
   }
 
   /** Splits all parts in two; any member may, on condition that nobody else has. */
   private void splitFullParts(long nowMicros) {
-    if (!partsFull || writing || nowMicros < nextGrowMicros || partSplit() >= MOST_SPLIT) {
+    if (!segmentFull || writing || nowMicros < nextGrowMicros || segmentSplit() >= MAX_SPLIT) {
       return;
     }
-    if (stateStore.takeWrites(1, 0)) {
-      partsFull = false;
+    if (stateStore.tryAcquireWrites(1, 0)) {
+      segmentFull = false;
       nextGrowMicros = nowMicros + GROW_MICROS;
       Map<String, Long> conditions = new LinkedHashMap<>();
-      conditions.put(KEY, stamp());
-      write(2 * partSplit(), conditions);
+      conditions.put(KEY, revision());
+      write(2 * segmentSplit(), conditions);
     }
   }
 
@@ -128,15 +128,15 @@
     writing = true;
     stateStore.commit(
         conditions,
-        List.of(Write.put(KEY, Json.of(FIELD_FORMAT, ANNOUNCED, FIELD_SPLIT, split))),
+        List.of(Mutation.put(KEY, Json.of(FIELD_FORMAT, ANNOUNCED, FIELD_SPLIT, split))),
         outcome -> {
           writing = false;
-          LOG.info("format {} with parts split by {}: {}", ANNOUNCED, split, outcome.result());
+          LOG.info("format {} with parts split by {}: {}", ANNOUNCED, split, outcome.status());
         });
   }
 
   private boolean wanted() {
-    return !agreed() || partSplit() < limits.wantedPartSplit();
+    return !agreed() || segmentSplit() < limits.targetSegmentSplit();
   }
 
   /** The stamps of all liveness and shard keys, if all are of this version; else null. */
@@ -147,7 +147,7 @@
       if (alive == null || Json.num(alive.data(), FIELD_FORMAT, 1) < ANNOUNCED) {
         return null;
       }
-      stamps.put(StateLease.key(node), alive.stamp());
+      stamps.put(StateLease.key(node), alive.modRevision());
     }
     for (int shard = 0; shard < nodes.size(); shard++) {
       StateStore.Entry entry = stateStore.get(Membership.shardKey(shard));
@@ -156,7 +156,7 @@
       if (alive == null || incarnation(entry) != incarnation(alive)) {
         return null;
       }
-      stamps.put(Membership.shardKey(shard), entry.stamp());
+      stamps.put(Membership.shardKey(shard), entry.modRevision());
     }
     return stamps;
   }
--- a/src/main/java/gladeknot/http/CallObserver.java
+++ b/src/main/java/gladeknot/outbox/CallObserver.java
@@ -1,4 +1,4 @@
-package gladeknot.http;
+package gladeknot.outbox;
 
 /** Hears of every call that the core makes to other services, and of its end. */
 public interface CallObserver {
--- a/src/main/java/gladeknot/http/Outbox.java
+++ b/src/main/java/gladeknot/outbox/Outbox.java
@@ -1,5 +1,6 @@
-package gladeknot.http;
+package gladeknot.outbox;
 
+import gladeknot.json.Json;
 import gladeknot.peer.PeerMessage;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -32,12 +33,12 @@
 
   /** Takes the reply to one call. */
   public interface ReplyHandler {
-    void on(Reply reply);
+    void onReply(Reply reply);
   }
 
   private final List<Call> calls = new ArrayList<>();
   private final List<Answer> answers = new ArrayList<>();
-  private final List<PeerMessage> messages = new ArrayList<>();
+  private final List<PeerMessage> peerMessages = new ArrayList<>();
   private final Map<Long, ReplyHandler> waiting = new HashMap<>();
   private CallObserver observer = CallObserver.NONE;
   private long nextId = 1;
@@ -63,7 +64,7 @@
   }
 
   /** Refuses for now and says when to come back. */
-  public void comeBack(long request, int status, String why, int retryAfterS) {
+  public void retryLater(long request, int status, String why, int retryAfterS) {
     answers.add(new Answer(request, status, Json.bytes(Json.of("error", why)), retryAfterS));
   }
 
@@ -72,31 +73,31 @@
     ReplyHandler handler = waiting.remove(callId);
     if (handler != null) {
       observer.replied(callId, reply.status());
-      handler.on(reply);
+      handler.onReply(reply);
     }
   }
 
   /** The calls added since the last time, each returned once. */
-  public List<Call> takeCalls() {
+  public List<Call> drainCalls() {
     List<Call> taken = List.copyOf(calls);
     calls.clear();
     return taken;
   }
 
   /** Tells the other controllers something; it may get lost. */
-  public void message(PeerMessage message) {
-    messages.add(message);
+  public void sendToPeers(PeerMessage message) {
+    peerMessages.add(message);
   }
 
   /** The messages to other controllers, each returned once. */
-  public List<PeerMessage> takeMessages() {
-    List<PeerMessage> taken = List.copyOf(messages);
-    messages.clear();
+  public List<PeerMessage> drainPeerMessages() {
+    List<PeerMessage> taken = List.copyOf(peerMessages);
+    peerMessages.clear();
     return taken;
   }
 
   /** The answers to requests, each returned once. */
-  public List<Answer> takeAnswers() {
+  public List<Answer> drainAnswers() {
     List<Answer> taken = List.copyOf(answers);
     answers.clear();
     return taken;
--- a/src/main/java/gladeknot/peer/PeerMessage.java
+++ b/src/main/java/gladeknot/peer/PeerMessage.java
@@ -22,11 +22,11 @@
     String from,
     int shard,
     long term,
-    List<Short> shorts,
-    List<String> withdrawn,
+    List<QuotaDeficit> deficits,
+    List<String> cancelledJobs,
     Optional<PeerReach> reach) {
   /** What a team lacks in a shard, in thousandths. */
-  public record Short(String team, long cpus, long gpus) {}
+  public record QuotaDeficit(String team, long cpus, long gpus) {}
 
   /** In place of a shard where a hint is about none. */
   public static final int NO_SHARD = Integer.MAX_VALUE;
@@ -37,19 +37,20 @@
   private static final int REACH_FORMAT = 3;
 
   /** How many teams one message tells of; the others wait for a later one. */
-  private static final int MOST_SHORTS = 1000;
+  private static final int MAX_DEFICITS = 1000;
 
   /** How many jobs one message tells of; its sender parts what is longer. */
-  public static final int MOST_WITHDRAWN = 500;
+  public static final int MAX_CANCELLED_JOBS = 500;
 
   /** A hint about a shard's budgets. */
-  public static PeerMessage ofShorts(String from, int shard, long term, List<Short> shorts) {
-    List<Short> told = shorts.subList(0, Math.min(shorts.size(), MOST_SHORTS));
+  public static PeerMessage ofDeficits(
+      String from, int shard, long term, List<QuotaDeficit> shorts) {
+    List<QuotaDeficit> told = shorts.subList(0, Math.min(shorts.size(), MAX_DEFICITS));
     return new PeerMessage(from, shard, term, List.copyOf(told), List.of(), Optional.empty());
   }
 
   /** A hint about jobs whose cancellation is committed. */
-  public static PeerMessage ofWithdrawn(String from, List<String> ids) {
+  public static PeerMessage ofCancelledJobs(String from, List<String> ids) {
     return new PeerMessage(from, NO_SHARD, 0, List.of(), ids, Optional.empty());
   }
 
@@ -66,14 +67,14 @@
       out.writeUTF(from);
       out.writeInt(shard);
       out.writeLong(term);
-      out.writeInt(shorts.size());
-      for (Short s : shorts) {
+      out.writeInt(deficits.size());
+      for (QuotaDeficit s : deficits) {
         out.writeUTF(s.team());
         out.writeLong(s.cpus());
         out.writeLong(s.gpus());
       }
-      out.writeInt(withdrawn.size());
-      for (String id : withdrawn) {
+      out.writeInt(cancelledJobs.size());
+      for (String id : cancelledJobs) {
         out.writeUTF(id);
       }
       if (reach.isPresent()) {
@@ -97,17 +98,17 @@
     int shard = in.readInt();
     long term = in.readLong();
     int count = in.readInt();
-    if (shard < 0 || count < 0 || count > MOST_SHORTS) {
+    if (shard < 0 || count < 0 || count > MAX_DEFICITS) {
       throw new IOException("out of range");
     }
-    List<Short> shorts = new ArrayList<>();
+    List<QuotaDeficit> shorts = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      shorts.add(new Short(in.readUTF(), in.readLong(), in.readLong()));
+      shorts.add(new QuotaDeficit(in.readUTF(), in.readLong(), in.readLong()));
     }
     List<String> withdrawn = new ArrayList<>();
     if (format >= PLAIN_FORMAT) {
       int ids = in.readInt();
-      if (ids < 0 || ids > MOST_WITHDRAWN) {
+      if (ids < 0 || ids > MAX_CANCELLED_JOBS) {
         throw new IOException("out of range");
       }
       for (int i = 0; i < ids; i++) {
--- a/src/main/java/gladeknot/peer/PeerReach.java
+++ b/src/main/java/gladeknot/peer/PeerReach.java
@@ -40,7 +40,7 @@
   public record ShardAccept(int shard, long term, String from) {}
 
   /** Bounds what one record holds, so that it stays below a connection's limit. */
-  public static final int MOST_ENTRIES = 400;
+  public static final int MAX_ENTRIES = 400;
 
   void write(DataOutputStream out) throws IOException {
     out.writeLong(life);
@@ -85,7 +85,7 @@
 
   private static <T> List<T> list(DataInputStream in, Element<T> element) throws IOException {
     int count = in.readInt();
-    if (count < 0 || count > MOST_ENTRIES) {
+    if (count < 0 || count > MAX_ENTRIES) {
       throw new IOException("out of range");
     }
     List<T> list = new ArrayList<>();
