--- /dev/null
+++ b/src/test/java/gladeknot/golden/GoldenAttemptsTest.java
@@ -0,0 +1,86 @@
+package gladeknot.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import gladeknot.tasks.RecordedAttempts;
+import gladeknot.tasks.RecordedAttempts.Recorded;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Attempts as slices' records hold them, in both forms, with values that few clusters reach. */
+class GoldenAttemptsTest {
+  private static final String JOB = "req-000412";
+  private static final GoldenFile FILE = new GoldenFile("stored/attempts.txt");
+  private static final String PLAIN = ", plain";
+  private static final String COMPACT = ", compact";
+  private static final int MANY = 70;
+
+  private record Case(String name, List<Recorded> attempts) {
+    @Override
+    public String toString() {
+      return name;
+    }
+  }
+
+  private static Recorded attempt(int task, long number, String host) {
+    return new Recorded(JOB + "/" + task, number, host);
+  }
+
+  private static List<Recorded> many() {
+    List<Recorded> attempts = new ArrayList<>();
+    for (int i = 0; i < MANY; i++) {
+      attempts.add(attempt(3 * i, 1000 + i * 7 % 11, String.format("vm-%06d", 900 - 13 * i)));
+    }
+    return attempts;
+  }
+
+  private static List<Case> cases() {
+    return List.of(
+        new Case("none", List.of()),
+        new Case("one", List.of(attempt(0, 4, "vm-000231"))),
+        new Case("a gang", List.of(attempt(0, 4, "vm-000231"), attempt(1, 4, "vm-000007"))),
+        new Case("last task", List.of(attempt(99_999, 5, "vm-999999"))),
+        new Case(
+            "large numbers",
+            List.of(
+                attempt(7, 1L << 40, "vm-000231"),
+                attempt(8, 3, "vm-000231"),
+                attempt(9, Long.MAX_VALUE / 4, "vm-000230"))),
+        new Case("long names", List.of(attempt(0, 4, "m-123456789012345678"))),
+        new Case("names of digits", List.of(attempt(0, 4, "000231"), attempt(1, 5, "000232"))),
+        new Case("unlike widths", List.of(attempt(1, 4, "vm-1"), attempt(2, 4, "vm-22"))),
+        new Case("unlike names", List.of(attempt(1, 4, "va-1"), attempt(2, 4, "vb-2"))),
+        new Case("no digits", List.of(attempt(1, 4, "host"), attempt(2, 4, "node"))),
+        new Case("colons", List.of(attempt(1, 4, "a:b-1"), attempt(2, 4, "a:b-2"))),
+        new Case("many", many()));
+  }
+
+  @ParameterizedTest
+  @MethodSource("cases")
+  void writtenInBothForms(Case c) {
+    FILE.check(c.name() + PLAIN, RecordedAttempts.plain(c.attempts()));
+    FILE.check(c.name() + COMPACT, RecordedAttempts.compact(c.attempts()));
+  }
+
+  @ParameterizedTest
+  @MethodSource("cases")
+  void readInBothForms(Case c) {
+    for (String form : List.of(PLAIN, COMPACT)) {
+      String text = FILE.read().get(c.name() + form);
+      assertEquals(c.attempts(), RecordedAttempts.read(JOB, text), form);
+    }
+  }
+
+  @Test
+  void noTextWithoutCase() {
+    List<String> names = new ArrayList<>();
+    for (Case c : cases()) {
+      names.add(c.name() + PLAIN);
+      names.add(c.name() + COMPACT);
+    }
+    FILE.checkNames(names);
+  }
+}
--- /dev/null
+++ b/src/test/java/gladeknot/golden/GoldenMembersTest.java
@@ -0,0 +1,73 @@
+package gladeknot.golden;
+
+import static gladeknot.golden.GoldenCluster.SECOND;
+
+import gladeknot.peer.PeerMessage;
+import gladeknot.settings.Features;
+import gladeknot.standin.FeatureSettings;
+import gladeknot.standin.SimulatedCluster;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** What controllers tell one another, store about themselves and show to operators. */
+class GoldenMembersTest {
+  private static final int MEMBERS = 3;
+  private static final int FIRST_RECORDS = 12;
+
+  private final Map<String, String> results = new LinkedHashMap<>();
+
+  private static GoldenCluster cluster(Features features) {
+    GoldenCluster cluster = new GoldenCluster(MEMBERS, GoldenCluster.SPLIT_LAYOUT);
+    return cluster.start(features, 0, 1, 2).run(5 * SECOND);
+  }
+
+  /** All members start, mark the format, and one of them ends. */
+  @Test
+  void startAndTakeover() {
+    GoldenCluster cluster = cluster(Features.NONE);
+    results.put("stored once all are up", cluster.stored(""));
+    cluster.stop(2);
+    cluster.run(25 * SECOND);
+    results.put("stored once one is gone", cluster.stored(""));
+    results.put("commits", SentCalls.commits(cluster.calls));
+    new GoldenFile("members/start-and-takeover.txt").checkAll(results);
+  }
+
+  /** Shards lack budget for a gang, and a job is cancelled. */
+  @Test
+  void recordsBetweenControllers() {
+    GoldenCluster cluster = cluster(Features.NONE);
+    cluster.asked(0, "POST", "/work", SimulatedCluster.job("req-gang", "ensemble", 20));
+    cluster.run(5 * SECOND);
+    cluster.asked(0, "POST", "/work/req-gang/abort", null);
+    new GoldenFile("members/records.txt").checkAll(records(cluster.messages));
+  }
+
+  @Test
+  void recordsAndStatusWithPartialCuts() {
+    GoldenCluster cluster = cluster(FeatureSettings.partialCuts());
+    new GoldenFile("members/partial-cuts-records.txt").checkAll(records(cluster.messages));
+    results.put("status", CanonicalJson.of(cluster.core(0).status()).replace("},{", "},\n{"));
+    cluster.stop(2);
+    cluster.run(25 * SECOND);
+    String later = CanonicalJson.of(cluster.core(0).status()).replace("},{", "},\n{");
+    results.put("status once one is gone", later);
+    new GoldenFile("members/partial-cuts-status.txt").checkAll(results);
+  }
+
+  /** The first records that differ, as bytes. */
+  private static Map<String, String> records(List<PeerMessage> messages) {
+    Set<String> texts = new LinkedHashSet<>();
+    messages.forEach(message -> texts.add(HexFormat.of().formatHex(message.encode())));
+    Map<String, String> numbered = new LinkedHashMap<>();
+    texts.stream()
+        .limit(FIRST_RECORDS)
+        .forEach(text -> numbered.put("record " + (numbered.size() + 1), text));
+    return numbered;
+  }
+}
--- /dev/null
+++ b/src/test/java/gladeknot/golden/GoldenUsersTest.java
@@ -0,0 +1,133 @@
+package gladeknot.golden;
+
+import static gladeknot.golden.GoldenCluster.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import gladeknot.standin.SimulatedCluster;
+import java.nio.charset.StandardCharsets;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** What users get for requests, byte for byte but for the order of fields. */
+class GoldenUsersTest {
+  private static final GoldenFile SUBMISSIONS = new GoldenFile("users/submissions.txt");
+  private static final GoldenFile PATHS = new GoldenFile("users/paths.txt");
+  private static final GoldenFile BODIES = new GoldenFile("users/malformed-bodies.txt");
+  private static final GoldenFile LIFE = new GoldenFile("users/life-of-a-job.txt");
+  private static final GoldenFile NOT_READY = new GoldenFile("users/not-ready.txt");
+
+  private record Request(String method, String path) {
+    @Override
+    public String toString() {
+      return method + " " + path;
+    }
+  }
+
+  private static GoldenCluster cluster() {
+    GoldenCluster cluster = new GoldenCluster(1, GoldenCluster.FIRST_LAYOUT).start(0);
+    return cluster.run(3 * SECOND);
+  }
+
+  private static List<SubmissionCase> submissions() {
+    return SubmissionCase.all();
+  }
+
+  /** Jobs that the submissions name under {@code waitsOn} are there. */
+  @ParameterizedTest
+  @MethodSource("submissions")
+  void submission(SubmissionCase submission) {
+    GoldenCluster cluster = cluster();
+    cluster.asked(0, "POST", "/work", SimulatedCluster.job("req-open", "array", 1));
+    cluster.asked(0, "POST", "/work", SimulatedCluster.job("req-service", "service", 1));
+    cluster.asked(0, "POST", "/work", SimulatedCluster.job("req-withdrawn", "array", 1));
+    cluster.asked(0, "POST", "/work/req-withdrawn/abort", null);
+    SUBMISSIONS.check(submission.toString(), cluster.asked(0, "POST", "/work", submission.body()));
+  }
+
+  @Test
+  void eachSubmissionHasItsOwnName() {
+    List<String> names = submissions().stream().map(SubmissionCase::toString).toList();
+    assertEquals(names.size(), names.stream().distinct().count());
+    SUBMISSIONS.checkNames(names);
+  }
+
+  private static final List<Request> REQUESTS =
+      List.of(
+          new Request("GET", "/healthz"),
+          new Request("GET", "/healthz?verbose=1"),
+          new Request("POST", "/healthz"),
+          new Request("GET", "/work"),
+          new Request("PUT", "/work"),
+          new Request("PUT", "/work/req-1"),
+          new Request("DELETE", "/work/req-1"),
+          new Request("GET", "/work/req-1/abort"),
+          new Request("GET", "/work/req-1"),
+          new Request("POST", "/work/req-1/abort"),
+          new Request("GET", "/work/nonsense"),
+          new Request("POST", "/work/nonsense/abort"),
+          new Request("GET", "/work/"),
+          new Request("GET", "/work/req-1/other"),
+          new Request("GET", "/hello"),
+          new Request("GET", "/"),
+          new Request("GET", "/elsewhere"));
+
+  @Test
+  void paths() {
+    Map<String, String> answers = new LinkedHashMap<>();
+    GoldenCluster cluster = cluster();
+    for (Request request : REQUESTS) {
+      answers.put(request.toString(), cluster.asked(0, request.method(), request.path(), null));
+    }
+    PATHS.checkAll(answers);
+  }
+
+  @Test
+  void malformedBodies() {
+    Map<String, String> answers = new LinkedHashMap<>();
+    GoldenCluster cluster = cluster();
+    for (String path : List.of("/work", "/hello")) {
+      for (String body : List.of("", "not JSON", "{", "[]", "null", "\"text\"", "7", "{}")) {
+        byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
+        String answer = GoldenCluster.text(cluster.ask(0, "POST", path, bytes));
+        answers.put("POST " + path + " " + CanonicalJson.of(bytes), answer);
+      }
+    }
+    BODIES.checkAll(answers);
+  }
+
+  /** Before the state is read, nothing that is not final is told. */
+  @Test
+  void notReady() {
+    Map<String, String> answers = new LinkedHashMap<>();
+    GoldenCluster cluster = new GoldenCluster(1, GoldenCluster.FIRST_LAYOUT).start(0);
+    answers.put("GET /healthz", cluster.asked(0, "GET", "/healthz", null));
+    cluster = new GoldenCluster(1, GoldenCluster.FIRST_LAYOUT).start(0);
+    answers.put("POST /work", cluster.asked(0, "POST", "/work", SubmissionCase.valid()));
+    cluster = new GoldenCluster(1, GoldenCluster.FIRST_LAYOUT).start(0);
+    answers.put("GET /work/ID", cluster.asked(0, "GET", "/work/req-1", null));
+    cluster = new GoldenCluster(1, GoldenCluster.FIRST_LAYOUT).start(0);
+    answers.put("POST /work/ID/abort", cluster.asked(0, "POST", "/work/req-1/abort", null));
+    NOT_READY.checkAll(answers);
+  }
+
+  @Test
+  void lifeOfAJob() {
+    Map<String, String> answers = new LinkedHashMap<>();
+    GoldenCluster cluster = cluster();
+    Map<String, Object> job = SimulatedCluster.job("req-1", "array", 2);
+    answers.put("submitted", cluster.asked(0, "POST", "/work", job));
+    answers.put("submitted again", cluster.asked(0, "POST", "/work", job));
+    answers.put("asked", cluster.asked(0, "GET", "/work/req-1", null));
+    answers.put("cancelled", cluster.asked(0, "POST", "/work/req-1/abort", null));
+    answers.put("cancelled again", cluster.asked(0, "POST", "/work/req-1/abort", null));
+    answers.put("asked when cancelled", cluster.asked(0, "GET", "/work/req-1", null));
+    answers.put("submitted when cancelled", cluster.asked(0, "POST", "/work", job));
+    Map<String, Object> after = SimulatedCluster.jobAfter("req-2", 3, "req-1");
+    answers.put("needs a cancelled job", cluster.asked(0, "POST", "/work", after));
+    LIFE.checkAll(answers);
+  }
+}
--- /dev/null
+++ b/src/test/java/gladeknot/golden/GoldenWorker.java
@@ -0,0 +1,67 @@
+package gladeknot.golden;
+
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
+import gladeknot.standin.FakeCloud;
+import gladeknot.standin.FakeStateStore.Answer;
+import gladeknot.standin.FakeWorker;
+import gladeknot.standin.SimulatedCluster;
+import java.io.IOException;
+import java.util.Map;
+
+/** A worker that reports when it is told to, and keeps the text of what went over the wire. */
+final class GoldenWorker {
+  /** How long its tasks run. */
+  static final long RUN_MICROS = 6 * GoldenCluster.SECOND;
+
+  private static final int OK = 200;
+
+  private final GoldenCluster cluster;
+  private final FakeWorker worker;
+
+  /** The worker of a machine, which gets the direct commands of all controllers from now on. */
+  GoldenWorker(GoldenCluster cluster, FakeCloud.Machine machine) {
+    this.cluster = cluster;
+    worker =
+        new FakeWorker(
+            machine,
+            machine.id + ":9",
+            SimulatedCluster.LEASE,
+            task -> RUN_MICROS,
+            cluster.nowMicros());
+    cluster.machines = this::direct;
+  }
+
+  /** Sends a heartbeat and takes in the answer; returns both as text. */
+  String heartbeat(int node) {
+    worker.advance(cluster.nowMicros());
+    Map<String, Object> report = worker.report();
+    long sent = cluster.nowMicros();
+    long tenure = worker.tenure();
+    Outbox.Answer answer = cluster.ask(node, "POST", "/hello", Json.bytes(report));
+    if (answer.status() == OK) {
+      worker.answered(object(answer.body()), sent, tenure);
+    }
+    return CanonicalJson.of(report) + "\n" + GoldenCluster.text(answer);
+  }
+
+  /** Whether a task is on the machine. */
+  boolean runs(String task) {
+    return worker.live().stream().anyMatch(t -> t.name.equals(task));
+  }
+
+  private Answer direct(Outbox.Call call) {
+    worker.advance(cluster.nowMicros());
+    return call.path().equals("/status")
+        ? new Answer(OK, worker.report())
+        : worker.orders(object(call.body()));
+  }
+
+  private static Map<String, Object> object(byte[] body) {
+    try {
+      return Json.object(body);
+    } catch (IOException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+}
