--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -11,6 +11,7 @@
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobRequestHandler;
 import gladeknot.jobs.JobSpec;
+import gladeknot.jobs.TaskCounts;
 import gladeknot.json.Json;
 import gladeknot.lifecycle.TaskLifecycle;
 import gladeknot.membership.Membership;
@@ -31,6 +32,8 @@
 import gladeknot.workers.HeartbeatHandler;
 import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerCommand;
+import gladeknot.workers.WorkerRecordCodec;
 import gladeknot.workers.WorkerRegistry;
 import java.util.List;
 import java.util.Map;
@@ -264,7 +267,7 @@
     for (StateStore.Change change : changes) {
       if (change.key().startsWith(SegmentLayout.KEY_PREFIX)) {
         scheduler.onSegmentChange(change.key());
-      } else if (change.key().startsWith(Worker.KEY_PREFIX)) {
+      } else if (change.key().startsWith(WorkerRecordCodec.KEY_PREFIX)) {
         workers.onChange(change.key(), change.before(), change.after());
         scheduler.requestScheduling();
       } else if (!change.key().startsWith(Job.KEY_PREFIX)) {
@@ -315,7 +318,7 @@
   /** What the handler of reports asks of placement and fleet. */
   private final class WorkerSync implements HeartbeatHandler.Reconciler {
     @Override
-    public List<Map<String, Object>> reconcile(Worker worker, Heartbeat report) {
+    public List<WorkerCommand> reconcile(Worker worker, Heartbeat report) {
       return scheduler.reconcile(worker, report);
     }
 
@@ -336,7 +339,7 @@
     }
 
     @Override
-    public List<Map<String, Object>> killsForFinishedJobs(Heartbeat report) {
+    public List<WorkerCommand> killsForFinishedJobs(Heartbeat report) {
       return scheduler.killsForFinishedJobs(report);
     }
 
@@ -368,7 +371,7 @@
     }
 
     @Override
-    public int[] taskCounts(Job job) {
+    public TaskCounts taskCounts(Job job) {
       return scheduler.taskCounts(job);
     }
 
--- a/src/main/java/gladeknot/fleet/Fleet.java
+++ b/src/main/java/gladeknot/fleet/Fleet.java
@@ -18,6 +18,8 @@
 import gladeknot.workers.Heartbeat;
 import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerRecord;
+import gladeknot.workers.WorkerRecordCodec;
 import gladeknot.workers.WorkerRegistry;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -694,7 +696,7 @@
         host,
         by,
         null,
-        Worker.record(shard, type, zone, spot, wallMicros, false),
+        WorkerRecordCodec.encode(new WorkerRecord(shard, type, zone, spot, wallMicros, false)),
         done -> {
           adopting.remove(host);
           scheduler.requestScheduling();
@@ -704,7 +706,7 @@
   private void edit(String host, int shard, String from, String to, Consumer<Boolean> then) {
     recordWriter.submit(
         new TransactionCommitter.FieldMutation(
-            shard, Worker.key(host), Worker.field(host), from, to, then));
+            shard, WorkerRecordCodec.key(host), WorkerRecordCodec.field(host), from, to, then));
   }
 
   /** A machine that reports and that nobody has entered. */
--- a/src/main/java/gladeknot/fleet/ScaleIn.java
+++ b/src/main/java/gladeknot/fleet/ScaleIn.java
@@ -11,6 +11,7 @@
 import gladeknot.state.TokenBucket;
 import gladeknot.workers.MachineType;
 import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerRecordCodec;
 import gladeknot.workers.WorkerRegistry;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -253,15 +254,15 @@
       }
       return;
     }
-    scheduler.onMachineGone(host, "machine released");
+    scheduler.onWorkerReleased(host);
     if (worker != null && worker.registered()) {
-      edit(host, shard, worker.record(), Worker.RELEASED, ok -> {});
+      edit(host, shard, worker.record(), WorkerRecordCodec.RELEASED, ok -> {});
     }
   }
 
   private void edit(String host, int shard, String from, String to, Consumer<Boolean> then) {
     recordWriter.submit(
         new TransactionCommitter.FieldMutation(
-            shard, Worker.key(host), Worker.field(host), from, to, then));
+            shard, WorkerRecordCodec.key(host), WorkerRecordCodec.field(host), from, to, then));
   }
 }
--- a/src/main/java/gladeknot/jobs/JobRequestHandler.java
+++ b/src/main/java/gladeknot/jobs/JobRequestHandler.java
@@ -40,7 +40,7 @@
     int homeShard(JobSpec spec);
 
     /** Done and running tasks of a job that goes on. */
-    int[] taskCounts(Job job);
+    TaskCounts taskCounts(Job job);
 
     /** Why answers that are not final can't be given now; null if they can. */
     String refusal();
@@ -231,10 +231,12 @@
       return;
     }
     // A held job has no slices, and so none of its tasks is counted.
-    int[] counts = cluster.taskCounts(job);
-    String phase = counts[1] > 0 ? "running" : "queued";
+    TaskCounts counts = cluster.taskCounts(job);
+    String phase = counts.running() > 0 ? "running" : "queued";
     outbox.answer(
-        request, 200, Json.of("id", id, "phase", phase, "done", counts[0], "running", counts[1]));
+        request,
+        200,
+        Json.of("id", id, "phase", phase, "done", counts.done(), "running", counts.running()));
   }
 
   /** POST /work/ID/abort. */
--- /dev/null
+++ b/src/main/java/gladeknot/jobs/TaskCounts.java
@@ -0,0 +1,9 @@
+package gladeknot.jobs;
+
+/**
+ * How far a job has come, for display.
+ *
+ * @param done tasks that committed records show as completed
+ * @param running tasks that are assigned to a worker and have not ended
+ */
+public record TaskCounts(int done, int running) {}
--- a/src/main/java/gladeknot/lifecycle/KillDispatcher.java
+++ b/src/main/java/gladeknot/lifecycle/KillDispatcher.java
@@ -5,8 +5,10 @@
 import gladeknot.membership.Membership;
 import gladeknot.outbox.Outbox;
 import gladeknot.tasks.Attempt;
+import gladeknot.workers.CommandCodec;
 import gladeknot.workers.Heartbeat;
 import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerCommand;
 import gladeknot.workers.WorkerRegistry;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -101,7 +103,7 @@
       call(endpoint, "GET", "/status", null, e, reply -> learn(reply, e));
       return;
     }
-    List<Map<String, Object>> orders = new ArrayList<>();
+    List<WorkerCommand> orders = new ArrayList<>();
     List<Attempt> carried = new ArrayList<>();
     long term = -1;
     for (Attempt a : e.attempts) {
@@ -112,14 +114,13 @@
         continue;
       }
       term = Math.max(term, membership.term(shard));
-      orders.add(
-          TaskLifecycle.command("kill", a.name(), a.number(), a.remainingGraceSeconds(nowMicros)));
+      orders.add(new WorkerCommand.Kill(a.name(), a.number(), a.remainingGraceSeconds(nowMicros)));
       carried.add(a);
     }
     if (orders.isEmpty()) {
       return;
     }
-    Object body = Json.of("fence", term, "tenure", e.tenure, "orders", orders);
+    Object body = CommandCodec.directCommands(term, e.tenure, orders);
     call(
         endpoint,
         "POST",
--- a/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
+++ b/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
@@ -5,6 +5,7 @@
 import gladeknot.jobs.Job;
 import gladeknot.jobs.JobRegistry;
 import gladeknot.jobs.JobSpec.Shape;
+import gladeknot.jobs.TaskCounts;
 import gladeknot.membership.Membership;
 import gladeknot.outbox.Outbox;
 import gladeknot.settings.Settings;
@@ -16,11 +17,11 @@
 import gladeknot.tracing.TaskTracer;
 import gladeknot.workers.Heartbeat;
 import gladeknot.workers.Worker;
+import gladeknot.workers.WorkerCommand;
 import gladeknot.workers.WorkerRegistry;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -174,11 +175,11 @@
   }
 
   /** Kills for what a report lists of jobs that are over by the copy. */
-  public List<Map<String, Object>> killsForFinishedJobs(Heartbeat report) {
-    List<Map<String, Object>> kills = new ArrayList<>();
+  public List<WorkerCommand> killsForFinishedJobs(Heartbeat report) {
+    List<WorkerCommand> kills = new ArrayList<>();
     for (Heartbeat.TaskStatus t : report.tasks()) {
       if (!t.ended() && jobs.isFinished(t.job())) {
-        kills.add(command("kill", t.name(), t.attempt(), 0));
+        kills.add(WorkerCommand.Kill.immediately(t.name(), t.attempt()));
       }
     }
     return kills;
@@ -193,17 +194,6 @@
     taskKiller.add(a);
   }
 
-  static Map<String, Object> command(String verb, String name, long number, double graceS) {
-    Map<String, Object> order = new LinkedHashMap<>();
-    order.put("verb", verb);
-    order.put("strand", name);
-    order.put("try", number);
-    if (verb.equals("kill")) {
-      order.put("windDownS", graceS);
-    }
-    return order;
-  }
-
   /** Whether a machine has nothing on it but replicas at work. */
   public boolean isSteady(Worker worker) {
     if (worker.reclaimAtMicros() != 0) {
@@ -223,15 +213,15 @@
   }
 
   /** Takes a report in and says what the worker is to do. */
-  public List<Map<String, Object>> reconcile(Worker worker, Heartbeat report) {
+  public List<WorkerCommand> reconcile(Worker worker, Heartbeat report) {
     int shard = worker.shard();
     // A report from before our term may be an old one that was held up on its way. What it lists
     // as ended has ended; what it leaves out may have been started since.
     boolean fresh = report.fencingToken() >= membership.term(shard);
     worker.updateReachability(nowMicros, settings.workers().leaseMicros() + HEARING_MICROS);
-    List<Map<String, Object>> reaps = new ArrayList<>();
-    List<Map<String, Object>> kills = new ArrayList<>();
-    List<Map<String, Object>> runs = new ArrayList<>();
+    List<WorkerCommand> reaps = new ArrayList<>();
+    List<WorkerCommand> kills = new ArrayList<>();
+    List<WorkerCommand> runs = new ArrayList<>();
     Set<String> listed = new HashSet<>();
     for (Heartbeat.TaskStatus t : report.tasks()) {
       Attempt a = worker.attempts().get(t.name());
@@ -241,14 +231,14 @@
       }
       if (!ours) {
         if (t.ended()) {
-          reaps.add(command("reap", t.name(), t.attempt(), 0));
+          reaps.add(new WorkerCommand.Purge(t.name(), t.attempt()));
         } else {
-          kills.add(command("kill", t.name(), t.attempt(), 0));
+          kills.add(WorkerCommand.Kill.immediately(t.name(), t.attempt()));
         }
       } else if (a.closed()) {
         // Given up, and its end not committed yet: it must not go on here meanwhile.
         if (!t.ended()) {
-          kills.add(command("kill", t.name(), t.attempt(), 0));
+          kills.add(WorkerCommand.Kill.immediately(t.name(), t.attempt()));
         }
       } else {
         if (t.ended()) {
@@ -261,7 +251,8 @@
             kill(a, 0);
           }
           if (a.killRequested()) {
-            kills.add(command("kill", t.name(), t.attempt(), a.remainingGraceSeconds(nowMicros)));
+            kills.add(
+                new WorkerCommand.Kill(t.name(), t.attempt(), a.remainingGraceSeconds(nowMicros)));
           }
         }
       }
@@ -287,10 +278,10 @@
       } else if (membership.permits(ControlAction.SEND_RUN, shard)) {
         a.markRunSent(report.incarnation(), report.sequence());
         tracer.runSent(a.traceId());
-        runs.add(command("run", a.name(), a.number(), 0));
+        runs.add(new WorkerCommand.Run(a.name(), a.number()));
       }
     }
-    List<Map<String, Object>> orders = new ArrayList<>(reaps);
+    List<WorkerCommand> orders = new ArrayList<>(reaps);
     orders.addAll(kills);
     orders.addAll(runs);
     return orders;
@@ -385,14 +376,14 @@
   }
 
   /** A machine was released or its lease has surely lapsed: nothing is on it any more. */
-  public void onMachineGone(String host, String why) {
+  public void onWorkerReleased(String host) {
     Worker w = workers.get(host);
     if (w == null) {
       return;
     }
     for (Attempt a : List.copyOf(w.attempts().values())) {
       if (!a.closed() && a.committed() && membership.ownedShards().contains(a.slice().shard())) {
-        gone(a, why);
+        gone(a, "machine released");
       }
     }
   }
@@ -482,11 +473,11 @@
   }
 
   /** Done tasks and tasks handed out, for display. */
-  public int[] taskCounts(Job job) {
+  public TaskCounts taskCounts(Job job) {
     int running = 0;
     for (Slice s : slices.inShard(job.id())) {
       running += s.liveCount();
     }
-    return new int[] {savedDone(job).cardinality(), running};
+    return new TaskCounts(savedDone(job).cardinality(), running);
   }
 }
--- /dev/null
+++ b/src/main/java/gladeknot/workers/CommandCodec.java
@@ -0,0 +1,60 @@
+package gladeknot.workers;
+
+import gladeknot.json.Json;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Writes what is sent to workers: answers to heartbeats and direct commands. */
+public final class CommandCodec {
+  private static final String FENCING_TOKEN = "fence";
+  private static final String INCARNATION = "tenure";
+  private static final String COMMANDS = "orders";
+  private static final String REDIRECT = "foreman";
+
+  private CommandCodec() {}
+
+  /** The answer to a heartbeat that is accepted. */
+  static Map<String, Object> answer(long fencingToken, List<WorkerCommand> commands) {
+    return Json.of(FENCING_TOKEN, fencingToken, COMMANDS, encode(commands));
+  }
+
+  /** The answer that sends a worker to another controller. */
+  static Map<String, Object> redirect(String node) {
+    return Json.of(REDIRECT, node);
+  }
+
+  /** Commands sent to a worker's own address; they apply to one incarnation of it only. */
+  public static Map<String, Object> directCommands(
+      long fencingToken, long incarnation, List<WorkerCommand> commands) {
+    return Json.of(
+        FENCING_TOKEN, fencingToken, INCARNATION, incarnation, COMMANDS, encode(commands));
+  }
+
+  private static List<Map<String, Object>> encode(List<WorkerCommand> commands) {
+    List<Map<String, Object>> encoded = new ArrayList<>(commands.size());
+    for (WorkerCommand command : commands) {
+      encoded.add(encode(command));
+    }
+    return encoded;
+  }
+
+  private static Map<String, Object> encode(WorkerCommand command) {
+    Map<String, Object> encoded = new LinkedHashMap<>();
+    encoded.put("verb", verb(command));
+    encoded.put("strand", command.task());
+    encoded.put("try", command.attempt());
+    if (command instanceof WorkerCommand.Kill kill) {
+      encoded.put("windDownS", kill.graceSeconds());
+    }
+    return encoded;
+  }
+
+  private static String verb(WorkerCommand command) {
+    if (command instanceof WorkerCommand.Run) {
+      return "run";
+    }
+    return command instanceof WorkerCommand.Kill ? "kill" : "reap";
+  }
+}
--- a/src/main/java/gladeknot/workers/HeartbeatHandler.java
+++ b/src/main/java/gladeknot/workers/HeartbeatHandler.java
@@ -22,7 +22,7 @@
   /** Brings what a report says together with what the slices say. */
   public interface Reconciler {
     /** The commands that follow from a report just taken in. */
-    List<Map<String, Object>> reconcile(Worker worker, Heartbeat report);
+    List<WorkerCommand> reconcile(Worker worker, Heartbeat report);
 
     /** Decides starts, now or soon; returns the number of the round that takes this report in. */
     long requestScheduling();
@@ -37,7 +37,7 @@
     boolean isSteady(Worker worker);
 
     /** Kills for the tasks of a report whose jobs are over by the copy. */
-    List<Map<String, Object>> killsForFinishedJobs(Heartbeat report);
+    List<WorkerCommand> killsForFinishedJobs(Heartbeat report);
 
     /** Makes an unexpected machine ours. */
     void registerUnknownWorker(Heartbeat report);
@@ -178,12 +178,12 @@
     HeartbeatObserver.Arrival arrival = arrival(report, shard, true);
     String elsewhere = traffic.redirect(arrival, report.tasks().isEmpty());
     if (elsewhere != null) {
-      outbox.answer(request, 421, Json.of("foreman", elsewhere));
+      outbox.answer(request, 421, CommandCodec.redirect(elsewhere));
       return;
     }
     worker.onHeartbeat(report, nowMicros);
     traffic.onHeartbeat(arrival);
-    List<Map<String, Object>> orders = reconciler.reconcile(worker, report);
+    List<WorkerCommand> orders = reconciler.reconcile(worker, report);
     long quietUntil = orders.isEmpty() && reconciler.isSteady(worker) ? nowMicros + quietMicros : 0;
     long until = Math.max(nowMicros, quietUntil) + holdMicros;
     Held h = new Held(request, worker, report, reconciler.requestScheduling(), until, quietUntil);
@@ -244,7 +244,7 @@
     Long before = sentAway.put(report.host(), nowMicros);
     boolean back = before != null && nowMicros - before < BACK_MICROS;
     if (!back || report.fencingToken() != term || report.tasks().isEmpty()) {
-      outbox.answer(request, 421, Json.of("foreman", owner));
+      outbox.answer(request, 421, CommandCodec.redirect(owner));
       return;
     }
     // It was sent to its controller and has come back: its lease is renewed here for a while, so
@@ -258,7 +258,7 @@
             if (done) {
               answerAsDelegate(request, body, report, shard, term);
             } else {
-              outbox.answer(request, 421, Json.of("foreman", owner));
+              outbox.answer(request, 421, CommandCodec.redirect(owner));
             }
           });
     }
@@ -277,9 +277,7 @@
             handle(request, body);
           } else if (membership.term(shard) == term && membership.isDelegateFor(shard)) {
             outbox.answer(
-                request,
-                200,
-                Json.of("fence", term, "orders", reconciler.killsForFinishedJobs(report)));
+                request, 200, CommandCodec.answer(term, reconciler.killsForFinishedJobs(report)));
           } else {
             outbox.retryLater(request, 503, "its controller is changing", 1);
           }
@@ -287,11 +285,11 @@
         () -> outbox.retryLater(request, 503, "the state service does not answer", 1));
   }
 
-  private void answer(long request, Worker worker, List<Map<String, Object>> orders) {
+  private void answer(long request, Worker worker, List<WorkerCommand> orders) {
     long term = membership.term(worker.shard());
     worker.onAnswered(nowMicros, term);
     traffic.onAnswered(worker.host());
-    outbox.answer(request, 200, Json.of("fence", term, "orders", orders));
+    outbox.answer(request, 200, CommandCodec.answer(term, orders));
   }
 
   private boolean pending(Held h) {
--- a/src/main/java/gladeknot/workers/Worker.java
+++ b/src/main/java/gladeknot/workers/Worker.java
@@ -1,19 +1,13 @@
 package gladeknot.workers;
 
-import gladeknot.state.StateStore;
 import gladeknot.tasks.Attempt;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** A rented machine: its key, and for those of our shards its newest report. */
 public final class Worker {
-  public static final String KEY_PREFIX = StateStore.ROOT + "w/";
-
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** Stored for a machine that was released: its name never comes up again, copies of it may. */
-  public static final String RELEASED = "-";
-
   private final String host;
   private int shard;
   private String type = "";
@@ -60,43 +54,9 @@
     this.host = host;
   }
 
-  /**
-   * The key that a machine lies in: those whose names differ in the last sign alone share one, so
-   * that a rental, which brings names in a row, takes few writes. A machine is in one key whatever
-   * its shard, so that no two shards can enter it.
-   */
-  public static String key(String host) {
-    return KEY_PREFIX + host.substring(0, host.length() - 1) + "-";
-  }
-
-  /** Its field in that key. */
-  public static String field(String host) {
-    return host.substring(host.length() - 1);
-  }
-
-  /** The machine that a field of a key is about. */
-  static String host(String key, String field) {
-    return key.substring(KEY_PREFIX.length(), key.length() - 1) + field;
-  }
-
-  /** What is stored for a machine. */
-  public static String record(
-      int shard, String type, String zone, boolean spot, long rentedWallMicros, boolean leaving) {
-    return shard
-        + "|"
-        + type
-        + "|"
-        + zone
-        + "|"
-        + (spot ? "s" : "o")
-        + "|"
-        + rentedWallMicros
-        + "|"
-        + (leaving ? "x" : "");
-  }
-
   public String record(int inShard, boolean isLeaving) {
-    return record(inShard, type, zone, spot, launchedWallMicros, isLeaving);
+    return WorkerRecordCodec.encode(
+        new WorkerRecord(inShard, type, zone, spot, launchedWallMicros, isLeaving));
   }
 
   /** Its record as the followed copy has it; null if it isn't entered. */
@@ -105,13 +65,13 @@
   }
 
   void read(String record) {
-    String[] f = record.split("\\|", -1);
-    shard = Integer.parseInt(f[0]);
-    type = f[1];
-    zone = f[2];
-    spot = f[3].equals("s");
-    launchedWallMicros = Long.parseLong(f[4]);
-    terminating = f[5].equals("x");
+    WorkerRecord stored = WorkerRecordCodec.decode(record);
+    shard = stored.shard();
+    type = stored.type();
+    zone = stored.zone();
+    spot = stored.spot();
+    launchedWallMicros = stored.launchedWallMicros();
+    terminating = stored.terminating();
     registered = true;
   }
 
--- a/src/main/java/gladeknot/workers/WorkerRegistry.java
+++ b/src/main/java/gladeknot/workers/WorkerRegistry.java
@@ -40,8 +40,8 @@
     data.forEach(
         (field, record) -> {
           if (!record.equals(old.get(field))) {
-            String host = Worker.host(key, field);
-            if (record.equals(Worker.RELEASED)) {
+            String host = WorkerRecordCodec.host(key, field);
+            if (record.equals(WorkerRecordCodec.RELEASED)) {
               released.add(host);
               onDeregistered(host);
             } else {
@@ -51,7 +51,7 @@
         });
     for (String field : old.keySet()) {
       if (!data.containsKey(field)) {
-        onDeregistered(Worker.host(key, field));
+        onDeregistered(WorkerRecordCodec.host(key, field));
       }
     }
   }
