--- /dev/null
+++ b/src/test/java/gladeknot/standin/JobStatusChecker.java
@@ -0,0 +1,73 @@
+package gladeknot.standin;
+
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
+import java.io.IOException;
+import java.util.Map;
+import java.util.Optional;
+
+/** Checks what users are told about their jobs, and keeps it. */
+final class JobStatusChecker {
+  private final SimulatedClock clock;
+  private final ObservedJobs jobs;
+  private final Violations violations;
+
+  JobStatusChecker(SimulatedClock clock, ObservedJobs jobs, Violations violations) {
+    this.clock = clock;
+    this.jobs = jobs;
+    this.violations = violations;
+  }
+
+  /** The answer to a submission that must not be accepted. */
+  void rejection(Map<String, Object> submission, int expectedStatus, int status) {
+    if (status < 300) {
+      violations.add("accepted: " + submission);
+    } else if (status != expectedStatus && status != 503) {
+      violations.add("refused with " + status + " for " + expectedStatus + ": " + submission);
+    }
+  }
+
+  /** The answer to a question about a job, which need not have been submitted. */
+  void polled(String id, Outbox.Answer answer) {
+    Optional<ObservedJob> job = jobs.find(id);
+    if (answer.status() == 200 && job.isPresent()) {
+      job.get().questionAnswered(clock.now());
+      answered(job.get(), answer);
+    } else if (answer.status() == 200) {
+      violations.add("invented: " + id);
+    } else if (answer.status() == 404 && job.isPresent() && job.get().isAccepted()) {
+      violations.add("forgotten: " + id);
+    }
+  }
+
+  /** An answer with a job's phase. */
+  void answered(ObservedJob job, Outbox.Answer answer) {
+    try {
+      check(job, Json.text(Json.object(answer.body()), "phase"));
+    } catch (IOException e) {
+      violations.add("an answer to a user is no JSON object");
+    }
+  }
+
+  private void check(ObservedJob job, String phase) {
+    String id = job.id();
+    if (job.isFinal() && !phase.equals(job.phase())) {
+      violations.add("went_back: " + id + " " + job.phase() + " then " + phase);
+    }
+    if (phase.equals("done") && !job.allTasksDone()) {
+      violations.add("not_done: " + id + " with " + job.doneTasks() + " of " + job.tasks());
+    }
+    if (phase.equals("withdrawn")) {
+      job.cancellationConfirmed(clock.now());
+      jobs.pipelines().cancelTold(id, clock.now());
+      if (!jobs.pipelines().mayBeWithdrawn(id)) {
+        violations.add("went_back: nobody cancelled " + id);
+      }
+    }
+    if ((phase.equals("queued") || phase.equals("running"))
+        && jobs.pipelines().orphaned(id, clock.now(), ClusterSettings.CANCEL)) {
+      violations.add("orphaned: " + id);
+    }
+    job.phaseAnswered(phase);
+  }
+}
--- /dev/null
+++ b/src/test/java/gladeknot/standin/SimulatedMachines.java
@@ -0,0 +1,113 @@
+package gladeknot.standin;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+
+/** The machines of a simulation: boots what the cloud rents out, removes what is given back. */
+final class SimulatedMachines {
+  private final SimulatedClock clock;
+  private final SplittableRandom random;
+  private final FakeCloud cloud;
+  private final TaskDurations durations;
+  private final int controllers;
+  private final Map<String, SimulatedMachine> machines = new TreeMap<>();
+  private final List<FakeCloud.Machine> booting = new ArrayList<>();
+  private long seenCloudChanges = -1;
+
+  SimulatedMachines(
+      SimulatedClock clock,
+      SplittableRandom random,
+      FakeCloud cloud,
+      TaskDurations durations,
+      int controllers) {
+    this.clock = clock;
+    this.random = random;
+    this.cloud = cloud;
+    this.durations = durations;
+    this.controllers = controllers;
+  }
+
+  /** All machines that have booted, by host; dead ones until they are given back. */
+  Collection<SimulatedMachine> all() {
+    return machines.values();
+  }
+
+  /** All machines that are not dead, by host. */
+  List<SimulatedMachine> alive() {
+    return machines.values().stream().filter(machine -> !machine.isDead()).toList();
+  }
+
+  /** One of the machines that are not dead; counting goes on at the first after the last. */
+  SimulatedMachine aliveAt(int nth) {
+    List<SimulatedMachine> alive = alive();
+    return alive.get(nth % alive.size());
+  }
+
+  Optional<SimulatedMachine> byHost(String host) {
+    return Optional.ofNullable(machines.get(host));
+  }
+
+  /** Lets all machines go on to the present, and sends the heartbeats that are due. */
+  void advance(HeartbeatSender heartbeats) {
+    followRentals();
+    bootRented();
+    for (SimulatedMachine machine : machines.values()) {
+      if (machine.isDead() || machine.isFrozen()) {
+        continue;
+      }
+      machine.worker().advance(clock.now());
+      if (machine.isHeartbeatDue(clock.now())) {
+        heartbeats.send(machine);
+      }
+    }
+  }
+
+  private void followRentals() {
+    if (seenCloudChanges == cloud.changes()) {
+      return;
+    }
+    seenCloudChanges = cloud.changes();
+    booting.clear();
+    Set<String> rented = new HashSet<>();
+    for (FakeCloud.Machine machine : cloud.machines()) {
+      rented.add(machine.id());
+      if (!machines.containsKey(machine.id())) {
+        booting.add(machine);
+      }
+    }
+    machines.keySet().retainAll(rented);
+  }
+
+  private void bootRented() {
+    for (FakeCloud.Machine rented : List.copyOf(booting)) {
+      if (rented.upMicros() <= clock.now()) {
+        SimulatedMachine machine =
+            new SimulatedMachine(newWorker(rented), random.nextInt(controllers));
+        machines.put(rented.id(), machine);
+        booting.remove(rented);
+      }
+    }
+  }
+
+  /** A machine loses all that is on it and is back at once, counting from the start again. */
+  void reboot(SimulatedMachine machine) {
+    FakeCloud.Machine rented =
+        cloud.machines().stream()
+            .filter(candidate -> candidate.id().equals(machine.host()))
+            .findFirst()
+            .orElseThrow();
+    machine.reboot(newWorker(rented));
+  }
+
+  private FakeWorker newWorker(FakeCloud.Machine rented) {
+    return new FakeWorker(
+        rented, rented.id() + ":9", ClusterSettings.LEASE, durations::of, clock.now());
+  }
+}
--- /dev/null
+++ b/src/test/java/gladeknot/standin/SimulatedNetwork.java
@@ -0,0 +1,239 @@
+package gladeknot.standin;
+
+import static gladeknot.standin.SimulatedClock.SECOND;
+import static gladeknot.standin.SimulatedClock.STEP;
+
+import gladeknot.json.Json;
+import gladeknot.outbox.Outbox;
+import gladeknot.standin.DirectionalCuts.Way;
+import java.io.IOException;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.SplittableRandom;
+
+/** Carries controllers' calls to the fake services and machines, with delays and faults. */
+final class SimulatedNetwork {
+  /** Receives the response to a call. */
+  interface ResponseHandler {
+    /** The call is over; empty if its time ran out or its connection was refused. */
+    void onResponse(Optional<ServiceResponse> response);
+  }
+
+  private static final long MIN_LATENCY = 2_000;
+  private static final int LATENCY_SPREAD = 15_000;
+  private static final long WATCH_LATENCY = 3_000;
+
+  /** A watch without changes is answered so long before its caller's timeout. */
+  private static final long WATCH_MARGIN = 4 * SECOND;
+
+  private static final long MIN_LATE_COMMIT = 2 * SECOND;
+  private static final long LATE_COMMIT_SPREAD = 10 * SECOND;
+
+  private final SimulatedClock clock;
+  private final SplittableRandom random;
+  private final FaultInjection faults;
+  private final FakeStateStore state;
+  private final FakeCloud cloud;
+  private final SimulatedMachines machines;
+  private final Violations violations;
+  private final Set<Integer> firstVersion = new HashSet<>();
+  private long stateCalls;
+
+  SimulatedNetwork(
+      SimulatedClock clock,
+      SplittableRandom random,
+      FaultInjection faults,
+      FakeStateStore state,
+      FakeCloud cloud,
+      SimulatedMachines machines,
+      Violations violations) {
+    this.clock = clock;
+    this.random = random;
+    this.faults = faults;
+    this.state = state;
+    this.cloud = cloud;
+    this.machines = machines;
+    this.violations = violations;
+  }
+
+  /** Makes a controller's announcements look like those of the first version, or ends that. */
+  void impersonateFirstVersion(int node, boolean on) {
+    if (on) {
+      firstVersion.add(node);
+    } else {
+      firstVersion.remove(node);
+    }
+  }
+
+  /** Calls to the state service so far. */
+  long stateCalls() {
+    return stateCalls;
+  }
+
+  /** Sends a call of a controller. */
+  void send(int node, Outbox.Call call, ResponseHandler handler) {
+    if (isStateCall(call)) {
+      stateCalls++;
+      if (failsBeforeSending(node, call, handler)) {
+        return;
+      }
+    }
+    long latency = MIN_LATENCY + random.nextInt(LATENCY_SPREAD);
+    latency += isStateCall(call) ? faults.stateDelay() : 0;
+    if (isCommit(call) && losesCommitResponse(node, call, latency, handler)) {
+      return;
+    }
+    latency += isCommand(call) ? faults.commandDelay() : 0;
+    clock.schedule(latency, () -> deliver(node, call, handler));
+  }
+
+  private void deliver(int node, Outbox.Call call, ResponseHandler handler) {
+    Optional<ServiceResponse> served = serve(node, call);
+    Optional<ServiceResponse> response = losesResponse(node, call) ? Optional.empty() : served;
+    clock.schedule(
+        response.isEmpty() ? call.timeoutMicros() : MIN_LATENCY,
+        () -> handler.onResponse(response));
+  }
+
+  private static boolean isStateCall(Outbox.Call call) {
+    return call.address().startsWith("state");
+  }
+
+  private static boolean isCloudCall(Outbox.Call call) {
+    return call.address().startsWith("cloud");
+  }
+
+  private static boolean isCommit(Outbox.Call call) {
+    return call.path().equals("/commit");
+  }
+
+  private static boolean isCommand(Outbox.Call call) {
+    return call.path().equals("/orders") || call.path().equals("/status");
+  }
+
+  /** Handles calls to the state service that are refused or lost, and watches. */
+  private boolean failsBeforeSending(int node, Outbox.Call call, ResponseHandler handler) {
+    if (faults.cuts().refused(node)) {
+      clock.schedule(MIN_LATENCY, () -> handler.onResponse(Optional.empty()));
+    } else if (faults.losesStateRequests(node)) {
+      timeOut(call, handler);
+    } else if (call.path().startsWith("/follow")) {
+      watch(node, call, handler, clock.now() + call.timeoutMicros() - WATCH_MARGIN);
+    } else if (faults.rejectsStateCalls(node)) {
+      clock.schedule(MIN_LATENCY, () -> handler.onResponse(unavailable()));
+    } else {
+      return false;
+    }
+    return true;
+  }
+
+  private static Optional<ServiceResponse> unavailable() {
+    return Optional.of(new ServiceResponse(503, Json.of()));
+  }
+
+  private void timeOut(Outbox.Call call, ResponseHandler handler) {
+    clock.schedule(call.timeoutMicros(), () -> handler.onResponse(Optional.empty()));
+  }
+
+  /** Handles transactions that are carried out, perhaps later, but get no answer. */
+  private boolean losesCommitResponse(
+      int node, Outbox.Call call, long latency, ResponseHandler handler) {
+    if (faults.lateCommitShare() > 0 && random.nextDouble() < faults.lateCommitShare()) {
+      serveUnanswered(node, call, MIN_LATE_COMMIT + random.nextLong(LATE_COMMIT_SPREAD), handler);
+      return true;
+    }
+    Optional<Long> held = faults.takeHeldCommit(call.body());
+    if (held.isPresent()) {
+      serveUnanswered(node, call, held.get(), handler);
+      return true;
+    }
+    if (faults.takeLostCommitResponse()) {
+      serveUnanswered(node, call, latency + faults.lostCommitDelay(), handler);
+      return true;
+    }
+    return false;
+  }
+
+  private void serveUnanswered(
+      int node, Outbox.Call call, long delayMicros, ResponseHandler handler) {
+    clock.schedule(delayMicros, () -> serve(node, call));
+    timeOut(call, handler);
+  }
+
+  private boolean losesResponse(int node, Outbox.Call call) {
+    if (isCloudCall(call)) {
+      return false;
+    }
+    Way way = isStateCall(call) ? Way.STATE_ANSWERS : Way.COMMAND_ANSWERS;
+    return faults.cuts().lost(node, way);
+  }
+
+  private void watch(int node, Outbox.Call call, ResponseHandler handler, long until) {
+    long from = Long.parseLong(FakeStateStore.query(call.path()).get("from"));
+    long now = clock.now();
+    if (faults.servesWatch(node) && (state.changedSince(from) || now >= until)) {
+      Optional<ServiceResponse> response = serve(node, call);
+      clock.schedule(WATCH_LATENCY + faults.stateDelay(), () -> handler.onResponse(response));
+    } else if (now >= until + WATCH_MARGIN) {
+      handler.onResponse(Optional.empty());
+    } else {
+      clock.schedule(STEP, () -> watch(node, call, handler, until));
+    }
+  }
+
+  private Optional<ServiceResponse> serve(int node, Outbox.Call call) {
+    try {
+      if (isStateCall(call)) {
+        return serveByState(node, call);
+      }
+      if (isCloudCall(call)) {
+        return Optional.of(cloud.serve(call.method(), call.path(), call.body()));
+      }
+      return serveByMachine(node, call);
+    } catch (IOException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  /** Transactions that are on their way are carried out during an outage as well. */
+  private Optional<ServiceResponse> serveByState(int node, Outbox.Call call) throws IOException {
+    if (isCommit(call)) {
+      byte[] transaction = checkedTransaction(node, call.body());
+      return Optional.of(state.serve(call.method(), call.path(), transaction));
+    }
+    return faults.hasStateOutage()
+        ? unavailable()
+        : Optional.of(state.serve(call.method(), call.path(), call.body()));
+  }
+
+  private Optional<ServiceResponse> serveByMachine(int node, Outbox.Call call) throws IOException {
+    Optional<SimulatedMachine> machine = machines.byHost(call.address().split(":")[0]);
+    if (machine.isEmpty()
+        || !faults.connectsWorkers(node, machine.get().zone())
+        || faults.cuts().lost(node, Way.COMMANDS)) {
+      return Optional.empty();
+    }
+    return machine.get().serve(call);
+  }
+
+  /** A transaction as a controller's version would send it; what others can't read is noted. */
+  private byte[] checkedTransaction(int node, byte[] body) throws IOException {
+    Map<String, Object> transaction = Json.object(body);
+    for (Map<String, Object> write : Json.objects(transaction, "writes")) {
+      String key = Json.text(write, "write");
+      if (key == null) {
+        continue;
+      }
+      if (firstVersion.contains(node) && key.startsWith("g/alive/")) {
+        Json.map(write.get("data")).remove("f");
+      }
+      boolean formatAgreed = state.get("g/format") != null;
+      if (!formatAgreed && !FirstVersionRecords.reads(key, Json.map(write.get("data")))) {
+        violations.add("unreadable for the first version: " + key);
+      }
+    }
+    return Json.bytes(transaction);
+  }
+}
