--- a/src/main/java/gladeknot/fleet/WorkerRegistration.java
+++ b/src/main/java/gladeknot/fleet/WorkerRegistration.java
@@ -94,7 +94,7 @@
   private int shardWithFewestCpus(long[] cpusByShard) {
     int fewest = membership.homeShard();
     for (int shard = 0; shard < cpusByShard.length; shard++) {
-      if (membership.liveOwner(shard) != null && cpusByShard[shard] < cpusByShard[fewest]) {
+      if (membership.liveOwner(shard).isPresent() && cpusByShard[shard] < cpusByShard[fewest]) {
         fewest = shard;
       }
     }
--- a/src/main/java/gladeknot/scheduling/HomeShardSelector.java
+++ b/src/main/java/gladeknot/scheduling/HomeShardSelector.java
@@ -58,7 +58,7 @@
     int[] replicas = quickReplicasByShard(spec, maxWait);
     for (int shard = 0; shard < replicas.length; shard++) {
       boolean more = replicas[shard] > replicas[best];
-      if (more && membership.liveOwner(shard) != null) {
+      if (more && membership.liveOwner(shard).isPresent()) {
         best = shard;
       }
     }
