--- a/src/test/java/gladeknot/app/PartitionFaultsTest.java
+++ b/src/test/java/gladeknot/app/PartitionFaultsTest.java
@@ -52,8 +52,8 @@
               5,
               22,
               cluster -> {
-                // Every owner goes on in its own zone, so that none gives its shard away; without
-                // kills by delegates a cancelled task lasted for as long as they took turns.
+                // Every owner still reaches its own zone, so that none relinquishes its shard.
+                // Without kills by delegates a cancelled task ran while they alternated.
                 cluster.faults().partitionZone("a", Set.of(0, 1));
                 cluster.faults().partitionZone("b", Set.of(2, 3, 4));
                 cluster.run(4 * SECOND);
--- a/src/test/java/gladeknot/app/StateServiceFaultsTest.java
+++ b/src/test/java/gladeknot/app/StateServiceFaultsTest.java
@@ -115,7 +115,7 @@
   }
 
   /**
-   * A request that meets a change which the controller's copy does not get to see is refused, not
+   * A request that conflicts with a change the controller's copy does not receive is refused, not
    * kept.
    */
   @Test
--- a/src/test/java/gladeknot/connectivity/PartialCutsSoak.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsSoak.java
@@ -9,9 +9,8 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * The properties of {@link PartialCutsPropertiesTest} on many more schedules and other seeds at
- * each run; too long for CI, which does not find it by its name: {@code mvn test
- * -Dtest=PartialCutsSoak}.
+ * The properties of {@link PartialCutsPropertiesTest} on many more schedules with new seeds in each
+ * run; too long for CI, whose name pattern excludes it: {@code mvn test -Dtest=PartialCutsSoak}.
  */
 class PartialCutsSoak {
   private static final int MAX_SEED = 1_000_000;
--- a/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
+++ b/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
@@ -66,7 +66,7 @@
     long end = NOW + 33 * SECOND;
     jobs.onChange(Job.key("req-a"), new Entry(JobRecordCodec.encodeDone(2, end), ++stamp));
     assertEquals(end, jobs.active("req-b").readyMicros());
-    // The first version's records don't tell when a job ended.
+    // The first version's records do not contain the time when a job ended.
     jobs.onChange(Job.key("req-0"), new Entry(Map.of("p", "done", "n", 2), ++stamp));
     accept("req-c", "idle", null, "req-0");
     assertEquals(NOW, jobs.active("req-c").readyMicros());
--- a/src/test/java/gladeknot/standin/ExecutionChecker.java
+++ b/src/test/java/gladeknot/standin/ExecutionChecker.java
@@ -50,7 +50,7 @@
       }
       machine.newStarts().forEach(this::checkStart);
       if (machine.isFrozen() && machine.worker().lapsed(clock.now())) {
-        // It will drop its tasks before anything else when it goes on.
+        // It will drop its tasks before anything else when it resumes.
         continue;
       }
       for (FakeWorker.Task task : machine.worker().live()) {
