--- a/src/main/java/gladeknot/fleet/Capacity.java
+++ b/src/main/java/gladeknot/fleet/Capacity.java
@@ -9,9 +9,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Packs expected tasks into the machines as if they were empty (first fit), the cheapest first. */
+/**
+ * Packs expected tasks into machines, cheapest machine first (first fit). Every machine is taken to
+ * be empty at the start.
+ */
 final class Capacity {
-  /** What decides whether a machine takes a task; many jobs share it. */
+  /**
+   * The properties of a job that decide whether a machine takes its tasks. Many jobs share them.
+   */
   private record Requirements(
       long cpus,
       long gpus,
@@ -34,23 +39,25 @@
   private final Set<String> zones = new LinkedHashSet<>();
 
   /**
-   * The first bin of each zone that may still take a task of certain requirements. Bins only fill
-   * up, so those before it need no second evaluation: evaluating each of them for every replica was
-   * most of what planning for a large fleet took.
+   * For each set of requirements, the index by zone of the first bin that may still take a task.
+   * Bins never become emptier, so the bins before that index need not be evaluated again.
+   * Evaluating each of them for every replica took most of the planning time of a large fleet.
    */
   private final Map<Requirements, Map<String, Integer>> firstFits = new HashMap<>();
 
   private long evaluations;
 
-  /** Adds a machine after those that there are. */
+  /** Adds a machine after the machines added so far. */
   void add(MachineBin bin) {
     bins.add(bin);
     zones.add(bin.zone());
   }
 
   /**
-   * Puts the cheapest bins first, of those the ones that replicas keep in any case, so that the
-   * others run empty. Only while nothing is packed.
+   * Sorts the bins: machines without GPUs first, then by price per CPU, then by the number of
+   * replicas that run on them, highest first. Machines with replicas are kept in any case, so
+   * filling them first lets the other machines of the same price run empty. Must not be called once
+   * a task is packed.
    */
   void sort() {
     bins.sort(
@@ -60,22 +67,22 @@
             .thenComparing(MachineBin::host));
   }
 
-  /** The bins in the order in which they are filled. */
+  /** Returns the bins in the order in which they are filled. */
   List<MachineBin> bins() {
     return bins;
   }
 
-  /** How many times a bin was evaluated for a task. */
+  /** Returns how many times a bin was evaluated for a task. */
   long evaluations() {
     return evaluations;
   }
 
-  /** Packs one task and counts it in its zone; false if no machine takes it. */
+  /** Packs one task and counts it in its zone. Returns false if no machine takes it. */
   boolean place(JobSpec spec, Map<String, Integer> tasksByZone) {
     return place(spec, tasksByZone, firstFits(spec));
   }
 
-  /** Packs tasks of one job, as many as machines take; returns how many that were. */
+  /** Packs up to {@code count} tasks of one job. Returns the number of tasks that machines took. */
   int place(JobSpec spec, int count, Map<String, Integer> tasksByZone) {
     Map<String, Integer> firstFitByZone = firstFits(spec);
     int placed = 0;
@@ -85,7 +92,7 @@
     return placed;
   }
 
-  /** Packs tasks into one machine; returns how many it took. */
+  /** Packs up to {@code count} tasks into one machine. Returns the number of tasks that it took. */
   int fill(MachineBin bin, JobSpec spec, Map<String, Integer> tasksByZone, int count) {
     int placed = 0;
     while (placed < count && spec.allowsZone(bin.zone(), tasksByZone) && bin.add(spec)) {
@@ -96,7 +103,7 @@
   }
 
   private Map<String, Integer> firstFits(JobSpec spec) {
-    return firstFits.computeIfAbsent(Requirements.of(spec), absent -> new HashMap<>());
+    return firstFits.computeIfAbsent(Requirements.of(spec), requirements -> new HashMap<>());
   }
 
   private boolean place(
@@ -117,19 +124,24 @@
     return true;
   }
 
-  /** The place of a zone's first bin that takes a task; the number of all bins if none does. */
+  /**
+   * Returns the index of a zone's first bin that takes a task, or the number of all bins if none
+   * does.
+   */
   private int firstFit(JobSpec spec, Map<String, Integer> firstFitByZone, String zone) {
-    int i = firstFitByZone.getOrDefault(zone, 0);
-    while (i < bins.size() && !(bins.get(i).zone().equals(zone) && takes(bins.get(i), spec))) {
-      i++;
+    int index = firstFitByZone.getOrDefault(zone, 0);
+    while (index < bins.size()
+        && !(bins.get(index).zone().equals(zone) && takes(bins.get(index), spec))) {
+      index++;
     }
-    firstFitByZone.put(zone, i);
-    return i;
+    firstFitByZone.put(zone, index);
+    return index;
   }
 
   private boolean takes(MachineBin bin, JobSpec spec) {
     evaluations++;
-    boolean idleGpus = spec.shape() == JobSpec.Shape.SERVICE && spec.gpus() == 0 && bin.hasGpus();
-    return !idleGpus && bin.fits(spec);
+    boolean leavesGpusIdle =
+        spec.shape() == JobSpec.Shape.SERVICE && spec.gpus() == 0 && bin.hasGpus();
+    return !leavesGpusIdle && bin.fits(spec);
   }
 }
--- a/src/main/java/gladeknot/fleet/CapacityPlanner.java
+++ b/src/main/java/gladeknot/fleet/CapacityPlanner.java
@@ -16,13 +16,13 @@
 import java.util.Optional;
 
 /**
- * Compares the load to be expected, by the arrivals of late, with the machines there are. What
- * finds no machine is requested ahead, by one controller at a time; machines left empty are
- * surplus.
+ * Compares the load expected from recent arrivals with the existing machines and the instances in
+ * flight. Instances for expected tasks that fit no machine are requested ahead, by one controller
+ * at a time. Machines that stay empty are marked as surplus.
  */
 final class CapacityPlanner {
-  /** How long a shard's owner requests ahead before it is the next one's turn. */
-  private static final long ROTATION_MICROS = 4_000_000;
+  /** Time for which a shard's owner requests ahead, before it is the next shard's turn. */
+  private static final long ROTATION_INTERVAL_MICROS = 4_000_000;
 
   private final Policy policy;
   private final Membership membership;
@@ -59,14 +59,17 @@
     this.clock = clock;
   }
 
-  /** Notes a job that has arrived; one older than the window doesn't count. */
+  /** Records the arrival of a job. A job that became ready before the window is ignored. */
   void onJobArrival(Job job) {
     if (clock.wallMicros() - job.readyMicros() < policy.micros(Policy.Name.WINDOW)) {
       arrivals.onArrival(job);
     }
   }
 
-  /** Plans anew: requests instances ahead if it is this controller's turn, and marks surplus. */
+  /**
+   * Computes a new plan, marks surplus workers, and requests the planned instances if it is this
+   * controller's turn.
+   */
   void run() {
     Capacity capacity = currentCapacity();
     for (Job service : scheduler.services()) {
@@ -78,13 +81,13 @@
       placeExpected(load, capacity, plan, maxTasks);
     }
     markSurplus(capacity);
-    int shard = (int) (clock.wallMicros() / ROTATION_MICROS % membership.shardCount());
+    int shard = (int) (clock.wallMicros() / ROTATION_INTERVAL_MICROS % membership.shardCount());
     if (membership.permits(ControlAction.SCALE_OUT, shard)) {
       requests.submit(plan, shard);
     }
   }
 
-  /** The registered workers that stay and the instances in flight, all empty. */
+  /** Returns the workers that are expected to stay and the instances in flight, all empty. */
   private Capacity currentCapacity() {
     Capacity capacity = new Capacity();
     for (Worker worker : workers.all()) {
@@ -113,7 +116,7 @@
     return loads;
   }
 
-  /** Places the expected tasks of a class, on planned instances where no machine takes them. */
+  /** Places the expected tasks of a class. Plans instances for tasks that no machine takes. */
   private void placeExpected(
       ArrivalRates.ClassLoad load, Capacity capacity, ScaleOutPlan plan, int maxTasks) {
     JobSpec spec = load.example();
@@ -123,14 +126,14 @@
     Map<String, Integer> tasksByZone = new HashMap<>();
     while (placed < tasks && placed < maxTasks) {
       if (placed % Math.max(1, spec.tasks()) == 0) {
-        // The next job begins, whose tasks are spread or kept together apart from the last one's.
+        // The next job begins. Its tasks are spread or colocated independently of the previous job.
         tasksByZone.clear();
       }
       if (!anyZone && capacity.place(spec, tasksByZone)) {
         placed++;
         continue;
       }
-      int added = placeOnPlanned(spec, tasksByZone, tasks - placed, capacity, plan);
+      int added = placeOnPlannedInstance(spec, tasksByZone, tasks - placed, capacity, plan);
       if (added == 0) {
         return;
       }
@@ -138,8 +141,11 @@
     }
   }
 
-  /** Plans an instance and places tasks on it; returns how many, 0 if no offering helps. */
-  private int placeOnPlanned(
+  /**
+   * Plans an instance and places tasks on it. Returns the number of placed tasks; 0 if no offering
+   * is suitable.
+   */
+  private int placeOnPlannedInstance(
       JobSpec spec,
       Map<String, Integer> tasksByZone,
       int remaining,
--- a/src/main/java/gladeknot/fleet/CapacityTargets.java
+++ b/src/main/java/gladeknot/fleet/CapacityTargets.java
@@ -3,10 +3,13 @@
 import gladeknot.jobs.JobSpec;
 import gladeknot.policy.Policy;
 
-/** How many tasks of a class there should be capacity for, ahead of their arrival. */
+/** Computes the number of tasks of a job class to keep capacity for, ahead of their arrival. */
 final class CapacityTargets {
-  /** A deadline with more slack than so many starts of an instance can be met on demand. */
-  private static final int SLACK_STARTS = 2;
+  /**
+   * Slack of a deadline, in start delays of an instance, above which the deadline can be met with
+   * instances requested on demand.
+   */
+  private static final int ON_DEMAND_SLACK_STARTS = 2;
 
   private final Policy policy;
   private final InstanceCatalog catalog;
@@ -21,7 +24,10 @@
     this.deadlines = deadlines;
   }
 
-  /** How many tasks of a class to have capacity for; what is placed already is part of it. */
+  /**
+   * Returns the number of tasks of a class to keep capacity for. Tasks that are already placed are
+   * included.
+   */
   double target(ArrivalRates.ClassLoad load) {
     JobSpec spec = load.example();
     boolean hasWaitObjective = deadlines.waitObjective(spec.jobClass()).isPresent();
@@ -32,22 +38,25 @@
       double variance = load.runningTasks() * load.tasksPerJob();
       return load.runningTasks() + policy.number(Policy.Name.SPREAD) * Math.sqrt(variance);
     }
-    return load.runningTasks() / fill(spec);
+    return load.runningTasks() / targetUtilization(spec);
   }
 
   private double expectedReplicas(ArrivalRates.ClassLoad load) {
-    double jobs = load.jobsPerS() * policy.number(Policy.Name.SERVICE_AHEAD);
+    double jobs = load.jobsPerSecond() * policy.number(Policy.Name.SERVICE_AHEAD);
     double margin = policy.number(Policy.Name.SPREAD) * Math.sqrt(jobs);
     return (jobs + margin) * load.tasksPerJob();
   }
 
-  /** The share of the capacity that is in use; higher where an instance on demand is in time. */
-  private double fill(JobSpec spec) {
+  /**
+   * Returns the planned ratio of running tasks to capacity. It is higher for jobs whose deadlines
+   * an instance requested on demand can meet.
+   */
+  private double targetUtilization(JobSpec spec) {
     long slackMicros =
         spec.deadlineMicros()
             - scheduler.estimates().runMicros(spec)
             - StartDeadlines.COMPLETION_DELAY_MICROS;
-    boolean slack = slackMicros > SLACK_STARTS * catalog.soonestStartMicros(spec);
-    return policy.number(slack ? Policy.Name.FILL_WITH_SLACK : Policy.Name.FILL);
+    boolean hasSlack = slackMicros > ON_DEMAND_SLACK_STARTS * catalog.minStartDelayMicros(spec);
+    return policy.number(hasSlack ? Policy.Name.FILL_WITH_SLACK : Policy.Name.FILL);
   }
 }
--- a/src/main/java/gladeknot/fleet/CatalogRefresh.java
+++ b/src/main/java/gladeknot/fleet/CatalogRefresh.java
@@ -7,18 +7,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps the catalogue as the cloud lists it. */
+/** Refreshes the catalogue from the cloud's list of machine types. */
 final class CatalogRefresh {
   private static final Logger LOG = LoggerFactory.getLogger(CatalogRefresh.class);
-  private static final long INTERVAL_MICROS = 60_000_000;
-  private static final long RETRY_MICROS = 1_000_000;
+  private static final long REFRESH_INTERVAL_MICROS = 60_000_000;
+  private static final long RETRY_INTERVAL_MICROS = 1_000_000;
 
   private final InstanceCatalog catalog;
   private final CloudClient cloud;
   private final FleetClock clock;
   private final TaskLifecycle lifecycle;
-  private boolean asking;
-  private long nextMicros;
+  private boolean requestInFlight;
+  private long nextRefreshMicros;
 
   CatalogRefresh(
       InstanceCatalog catalog, CloudClient cloud, FleetClock clock, TaskLifecycle lifecycle) {
@@ -28,20 +28,20 @@
     this.lifecycle = lifecycle;
   }
 
-  /** Asks the cloud for its types when that is due. */
+  /** Requests the machine types from the cloud if a refresh is due and none is in flight. */
   void tick() {
-    if (!asking && clock.nowMicros() >= nextMicros) {
-      asking = cloud.listMachineTypes(this::onTypes);
+    if (!requestInFlight && clock.nowMicros() >= nextRefreshMicros) {
+      requestInFlight = cloud.listMachineTypes(this::onTypes);
     }
   }
 
   private void onTypes(Optional<List<MachineType>> types) {
-    asking = false;
+    requestInFlight = false;
     if (types.isEmpty()) {
-      nextMicros = clock.nowMicros() + RETRY_MICROS;
+      nextRefreshMicros = clock.nowMicros() + RETRY_INTERVAL_MICROS;
       return;
     }
-    nextMicros = clock.nowMicros() + INTERVAL_MICROS;
+    nextRefreshMicros = clock.nowMicros() + REFRESH_INTERVAL_MICROS;
     boolean first = !catalog.isKnown();
     catalog.update(types.get());
     if (first) {
--- a/src/main/java/gladeknot/fleet/CloudClient.java
+++ b/src/main/java/gladeknot/fleet/CloudClient.java
@@ -8,20 +8,21 @@
 import java.util.Optional;
 
 /**
- * Calls to the cloud, within this controller's share of the cloud's rate limit. Methods that return
- * a boolean return false, and call nothing, while the share is used up.
+ * Calls the cloud within this controller's share of the cloud's rate limit. Methods that return a
+ * boolean return false, without a call, while the share is used up.
  */
 final class CloudClient {
   private static final long CALL_TIMEOUT_MICROS = 8_000_000;
   private static final long TYPES_TIMEOUT_MICROS = 3_000_000;
   private static final int OK = 200;
 
-  /** How much of its share of the cloud's limit a controller uses, and its burst in seconds. */
+  /** Fraction of its share of the cloud's rate limit that a controller uses. */
   private static final double RATE_FACTOR = 0.9;
 
-  private static final double BURST_FACTOR = 1.8;
+  /** Size of a burst, in seconds' worth of the controller's share. */
+  private static final double BURST_SECONDS = 1.8;
 
-  /** Calls kept back for scaling while instances are listed. */
+  /** Number of calls that listing instances leaves available for scaling. */
   private static final double RESERVED_CALLS = 1;
 
   private final String address;
@@ -33,36 +34,36 @@
     this.address = settings.cloudAddress();
     this.outbox = outbox;
     this.clock = clock;
-    double callsPerS = settings.cloudLimits().rps() / settings.nodes().size();
-    this.tokens = new TokenBucket(callsPerS * RATE_FACTOR, callsPerS * BURST_FACTOR);
+    double callsPerSecond = settings.cloudLimits().rps() / settings.nodes().size();
+    this.tokens = new TokenBucket(callsPerSecond * RATE_FACTOR, callsPerSecond * BURST_SECONDS);
   }
 
-  /** Takes the machine types; empty if the cloud didn't list them. */
+  /** Receives the machine types; empty if the cloud didn't list them. */
   interface MachineTypesHandler {
     void onReply(Optional<List<MachineType>> types);
   }
 
-  /** Takes a page of the list of instances; empty if the cloud didn't list them. */
+  /** Receives a page of the list of instances; empty if the cloud didn't list them. */
   interface InstancePageHandler {
     void onReply(Optional<CloudCodec.InstancePage> page);
   }
 
-  /** Takes the answer to a scale-out request. */
+  /** Receives the answer to a scale-out request. */
   interface ScaleOutHandler {
     void onReply(CloudCodec.ScaleOutResponse response);
   }
 
-  /** Takes the outcome of a release. */
+  /** Receives the outcome of a release. */
   interface ReleaseHandler {
     void onReply(boolean released);
   }
 
-  /** How many calls could be made at once now. */
+  /** Returns the number of calls that the rate limit allows at this time. */
   int availableCalls() {
     return (int) tokens.available(0, clock.nowMicros());
   }
 
-  /** Asks for the machine types. */
+  /** Requests the machine types. */
   boolean listMachineTypes(MachineTypesHandler handler) {
     if (!tokens.tryAcquire(1, 0, clock.nowMicros())) {
       return false;
@@ -81,7 +82,10 @@
     return true;
   }
 
-  /** Asks for the instances after a host in the order of the list, the first ones if empty. */
+  /**
+   * Requests a page of the list: the instances after a host, or the first instances if {@code
+   * afterHost} is empty.
+   */
   boolean listInstances(String afterHost, InstancePageHandler handler) {
     if (!tokens.tryAcquire(1, RESERVED_CALLS, clock.nowMicros())) {
       return false;
@@ -109,7 +113,7 @@
     return true;
   }
 
-  /** Sends a scale-out request again; it must not wait, so it may overdraw the rate limit. */
+  /** Sends a scale-out request again. A retry must not wait, so it may exceed the rate limit. */
   void retryScaleOut(ScaleOutRequest request, ScaleOutHandler handler) {
     tokens.forceAcquire(1, clock.nowMicros());
     callScaleOut(request, handler);
--- a/src/main/java/gladeknot/fleet/CloudCodec.java
+++ b/src/main/java/gladeknot/fleet/CloudCodec.java
@@ -8,40 +8,42 @@
 import java.util.Map;
 
 /**
- * Requests to the cloud and its replies, between JSON and typed messages. The only place with the
- * cloud's words: hire = scale-out request, hosttype = machine type, glade = zone, loaners = spot.
+ * Converts requests to the cloud and its replies between JSON and typed messages. Only this class
+ * uses the field names of the cloud's API: hire = scale-out request, hosttype = machine type, glade
+ * = zone, loaners = spot.
  */
 final class CloudCodec {
   static final String MACHINE_TYPES_PATH = "/machine_types";
   static final String INSTANCES_PATH = "/rentals";
   static final String RELEASE_PATH = "/rentals/release";
 
-  /** How many instances one page of the list holds at most. */
+  /** Maximum number of instances on one page of the list. */
   private static final int PAGE_SIZE = 500;
 
   private static final int UNAVAILABLE = 503;
 
-  /** What the cloud calls an outage of its own, as opposed to a lack of instances. */
-  private static final String OUTAGE = "trouble";
+  /** Error text by which the cloud reports an outage of its own rather than a lack of instances. */
+  private static final String OUTAGE_ERROR = "trouble";
 
   private static final String FAILED_PHASE = "failed";
   private static final double THOUSANDTHS = 1000;
-  private static final double MICROS_PER_S = 1e6;
+  private static final double MICROS_PER_SECOND = 1e6;
 
-  /** Assumed where a listed type lacks its fetch rate. */
-  private static final double DEFAULT_FETCH_GB_PER_S = 0.1;
+  /** Fetch rate assumed for a listed type without one. */
+  private static final double DEFAULT_FETCH_GB_PER_SECOND = 0.1;
 
-  /** Assumed where a listed type lacks its boot time. */
-  private static final double DEFAULT_READY_S = 30;
+  /** Boot time assumed for a listed type without one. */
+  private static final double DEFAULT_READY_SECONDS = 30;
 
   private CloudCodec() {}
 
   /**
    * The cloud's answer to a scale-out request.
    *
-   * @param httpStatus the status; 0 if no answer arrived, and the request may have been fulfilled
+   * @param httpStatus the status; 0 if no answer arrived, in which case the cloud may still have
+   *     fulfilled the request
    * @param hosts names of the instances that were started
-   * @param outOfCapacity whether the cloud lacks instances, rather than being out of order
+   * @param outOfCapacity whether the cloud lacks instances, as opposed to having an outage
    */
   record ScaleOutResponse(int httpStatus, List<String> hosts, boolean outOfCapacity) {
     boolean answered() {
@@ -54,17 +56,17 @@
   }
 
   /**
-   * An instance as the cloud lists it. Texts that the cloud left out are null.
+   * An instance as the cloud lists it. Text fields that the cloud left out are null.
    *
-   * @param failed whether the cloud says that the instance failed
+   * @param failed whether the cloud reports the instance as failed
    */
   record ListedInstance(
       String host, String endpoint, String type, String zone, boolean spot, boolean failed) {}
 
-  /** A page of the cloud's list; {@code more} says that further instances follow. */
+  /** A page of the cloud's list. {@code more} is true if further instances follow. */
   record InstancePage(List<ListedInstance> instances, boolean more) {}
 
-  /** The body of a scale-out request. */
+  /** Returns the body of a scale-out request. */
   static Map<String, Object> scaleOutRequest(ScaleOutRequest request) {
     return Json.of(
         "hire", request.name(),
@@ -76,17 +78,20 @@
 
   static ScaleOutResponse scaleOutResponse(Outbox.Reply reply) {
     Map<String, Object> body = reply.object();
-    boolean outage = OUTAGE.equals(Json.text(body, "error"));
+    boolean outage = OUTAGE_ERROR.equals(Json.text(body, "error"));
     return new ScaleOutResponse(
         reply.status(), Json.texts(body, "hosts"), reply.status() == UNAVAILABLE && !outage);
   }
 
-  /** The body of a request to release instances. */
+  /** Returns the body of a request to release instances. */
   static Map<String, Object> releaseRequest(List<String> hosts) {
     return Json.of("hosts", hosts);
   }
 
-  /** The path of a page of the list: the instances after a host, or the first ones if empty. */
+  /**
+   * Returns the path of a page of the list: the instances after a host, or the first instances if
+   * {@code afterHost} is empty.
+   */
   static String instancePagePath(String afterHost) {
     String from = afterHost.isEmpty() ? "" : "from=" + afterHost + "&";
     return INSTANCES_PATH + "?" + from + "most=" + PAGE_SIZE;
@@ -126,10 +131,10 @@
         Math.round(Json.real(type, "accelerators", 0) * THOUSANDTHS),
         Math.round(Json.real(type, "memoryGb", 0) * THOUSANDTHS),
         Json.real(type, "cacheGb", 0),
-        Json.real(type, "fetchGbPerS", DEFAULT_FETCH_GB_PER_S),
+        Json.real(type, "fetchGbPerS", DEFAULT_FETCH_GB_PER_SECOND),
         Json.real(type, "rate", 0),
         Json.real(type, "marketPrice", 0),
-        (long) (Json.real(type, "readyS", DEFAULT_READY_S) * MICROS_PER_S),
+        (long) (Json.real(type, "readyS", DEFAULT_READY_SECONDS) * MICROS_PER_SECOND),
         Json.texts(type, "glades"));
   }
 }
--- a/src/main/java/gladeknot/fleet/Fleet.java
+++ b/src/main/java/gladeknot/fleet/Fleet.java
@@ -12,15 +12,15 @@
 import gladeknot.workers.WorkerRegistry;
 import java.util.List;
 
-/** The fleet of machines: wires its parts and runs each of them at its interval. */
+/** The fleet of machines: wires its components and runs each of them at its interval. */
 public final class Fleet {
-  private static final long STEP_MICROS = 800_000;
-  private static final long PLAN_MICROS = 2_000_000;
+  private static final long STEP_INTERVAL_MICROS = 800_000;
+  private static final long PLAN_INTERVAL_MICROS = 2_000_000;
 
   /**
-   * For so many machines the rounds over the whole fleet are as frequent as named here; for more
-   * the intervals grow with their number, so that the cost a second stays the same. A machine takes
-   * many times as long to boot.
+   * Number of machines up to which the rounds over the whole fleet run at the intervals above. For
+   * a larger fleet the intervals grow in proportion, so that the cost per second stays the same.
+   * Longer intervals do little harm: a machine takes many times as long to boot.
    */
   private static final double REFERENCE_FLEET_SIZE = 180;
 
@@ -45,7 +45,10 @@
   private long nextPlanMicros;
   private double intervalFactor = 1;
 
-  /** A fleet without known machine types: these are asked for first, and kept in the catalogue. */
+  /**
+   * Creates a fleet without known machine types. They are requested from the cloud first and kept
+   * in the catalogue.
+   */
   public Fleet(
       Settings settings,
       Policy policy,
@@ -70,7 +73,8 @@
     WorkerRegistration registration =
         new WorkerRegistration(membership, workers, records, lifecycle, catalog, clock);
     ScaleOutRequests requests =
-        new ScaleOutRequests(settings, membership, cloud, clock, registration, this::planAgainSoon);
+        new ScaleOutRequests(
+            settings, membership, cloud, clock, registration, this::rescheduleRounds);
     PlanningLimits limits = new PlanningLimits(workers, requests);
     StartDeadlines deadlines = new StartDeadlines(settings, policy, catalog, scheduler, clock);
     ForecastBuilder forecasts =
@@ -105,30 +109,39 @@
         clock);
   }
 
-  /** Lets time pass, in microseconds of the steady clock and of the time of day. */
+  /**
+   * Advances the clock and runs the rounds that are due.
+   *
+   * @param nowMicros the time of the steady clock, in microseconds
+   * @param wallMicros the time of day, in microseconds since the epoch
+   */
   public void tick(long nowMicros, long wallMicros) {
     clock.advance(nowMicros, wallMicros);
     catalogRefresh.tick();
     if (nowMicros < nextStepMicros || !stateStore.loaded() || !catalog.isKnown()) {
       return;
     }
-    nextStepMicros = nowMicros + STEP_MICROS;
+    nextStepMicros = nowMicros + STEP_INTERVAL_MICROS;
     intervalFactor =
         Math.max(1, Math.min(MAX_INTERVAL_FACTOR, workers.all().size() / REFERENCE_FLEET_SIZE));
     selector.countMachinesByZone();
     scaleIn.step();
     if (nowMicros >= nextScaleOutMicros) {
-      nextScaleOutMicros = nowMicros + (long) (STEP_MICROS * intervalFactor) - STEP_MICROS / 2;
+      nextScaleOutMicros =
+          nowMicros + (long) (STEP_INTERVAL_MICROS * intervalFactor) - STEP_INTERVAL_MICROS / 2;
       scaleOut();
     }
     if (nowMicros >= nextPlanMicros) {
-      nextPlanMicros = nowMicros + (long) (PLAN_MICROS * intervalFactor);
+      nextPlanMicros = nowMicros + (long) (PLAN_INTERVAL_MICROS * intervalFactor);
       planner.run();
     }
     unregistered.step();
   }
 
-  /** Serves the pending tasks: with requested instances, and with machines for other shards. */
+  /**
+   * Serves the pending tasks: requests instances for those of the owned shards, and transfers idle
+   * machines to other shards.
+   */
   private void scaleOut() {
     List<SchedulerView.PendingTasks> queue = scheduler.pendingTasks();
     int pendingCount = 0;
@@ -140,22 +153,25 @@
     transfer.run(queue);
   }
 
-  /** After a failed request the next best offering is tried at once. */
-  private void planAgainSoon() {
+  /**
+   * Brings the next rounds forward after a failed scale-out request, so that the next best offering
+   * is tried soon.
+   */
+  private void rescheduleRounds() {
     long nowMicros = clock.nowMicros();
     nextStepMicros = 0;
-    long scaleOutMicros = nowMicros + (long) (STEP_MICROS * (intervalFactor - 1));
+    long scaleOutMicros = nowMicros + (long) (STEP_INTERVAL_MICROS * (intervalFactor - 1));
     nextScaleOutMicros = Math.min(nextScaleOutMicros, scaleOutMicros);
-    long planMicros = nowMicros + (long) (STEP_MICROS * intervalFactor / 2);
+    long planMicros = nowMicros + (long) (STEP_INTERVAL_MICROS * intervalFactor / 2);
     nextPlanMicros = Math.min(nextPlanMicros, planMicros);
   }
 
-  /** Counts a job that has arrived towards the load to be expected. */
+  /** Adds a newly arrived job to the arrivals from which the expected load is computed. */
   public void onJobArrival(Job job) {
     planner.onJobArrival(job);
   }
 
-  /** Registers a machine that sends heartbeats and is not registered. */
+  /** Registers a machine that sends heartbeats but is not registered. */
   public void registerUnknownWorker(Heartbeat heartbeat) {
     unregistered.onHeartbeat(heartbeat);
   }
--- a/src/main/java/gladeknot/fleet/Forecast.java
+++ b/src/main/java/gladeknot/fleet/Forecast.java
@@ -9,19 +9,22 @@
 import java.util.Set;
 
 /**
- * When pending tasks will start on the machines there are and those that were requested. Tasks are
- * placed one after the other, in the order in which they would be scheduled.
+ * Forecast of when pending tasks start on the existing machines and the instances in flight. Tasks
+ * are placed one after the other, in the order in which they would be scheduled.
  */
 final class Forecast {
-  /** A time that doesn't come; small enough to add to. */
+  /** A time that never comes. It is small enough for durations to be added without overflow. */
   static final long NEVER = Long.MAX_VALUE / 4;
 
-  /** Instead of a shard's number: the machines of all shards. */
+  /** Stands for the machines of all shards in place of a shard's number. */
   static final int ANY_SHARD = -1;
 
   private static final int NO_PRIORITY = -1;
 
-  /** A task that runs on a machine, from a time to another, with what it takes in thousandths. */
+  /**
+   * A task that runs on a machine from {@code fromMicros} to {@code toMicros}, with the resources
+   * that it takes, in thousandths.
+   */
   record RunningTask(
       JobSpec.Priority priority,
       MachineTimeline machine,
@@ -37,23 +40,26 @@
   private final List<RunningTask> runningTasks = new ArrayList<>();
   private final Map<StartTimeQueue.Key, StartTimeQueue> queues = new HashMap<>();
 
-  /** The lowest priority admitted so far, as its ordinal; many pending jobs share one. */
-  private int admitted = NO_PRIORITY;
+  /**
+   * Ordinal of the lowest priority admitted so far. Many pending jobs share a priority, which needs
+   * to be admitted only once.
+   */
+  private int lowestAdmittedOrdinal = NO_PRIORITY;
 
-  /** Adds a task that runs; it counts once its priority is admitted. */
+  /** Adds a running task. It takes resources once its priority is admitted. */
   void addRunning(RunningTask task) {
     runningTasks.add(task);
   }
 
   /**
-   * From here on running tasks of a priority, and of those above it, take their resources. Tasks
-   * below it can be preempted, and keep no pending task of this priority waiting.
+   * Lets the running tasks of a priority and of the priorities above it take their resources. Tasks
+   * of lower priority can be preempted, so they don't delay pending tasks of this priority.
    */
   void admit(JobSpec.Priority priority) {
-    if (priority.ordinal() <= admitted) {
+    if (priority.ordinal() <= lowestAdmittedOrdinal) {
       return;
     }
-    admitted = priority.ordinal();
+    lowestAdmittedOrdinal = priority.ordinal();
     runningTasks.removeIf(task -> reserveIfAdmitted(task, priority));
   }
 
@@ -66,13 +72,13 @@
     return true;
   }
 
-  /** Adds a machine, also while tasks are being placed. */
+  /** Adds a machine. May be called while tasks are being placed. */
   void add(MachineTimeline machine) {
     machines.add(machine);
     zones.add(machine.zone());
     types.add(machine.type().name());
-    int order = machines.size() - 1;
-    queues.values().forEach(queue -> queue.add(machine, order));
+    int machineIndex = machines.size() - 1;
+    queues.values().forEach(queue -> queue.add(machine, machineIndex));
   }
 
   List<MachineTimeline> machines() {
@@ -87,7 +93,7 @@
     return types;
   }
 
-  /** How many times a machine was evaluated for a task. */
+  /** Returns how many times a machine was evaluated for a task. */
   long evaluations() {
     long evaluations = 0;
     for (StartTimeQueue queue : queues.values()) {
@@ -96,23 +102,26 @@
     return evaluations;
   }
 
-  /** Searches for the tasks of one job, on one shard's machines or on those of any shard. */
+  /**
+   * Returns a search for machines for the tasks of one job, on the machines of one shard or, with
+   * {@link #ANY_SHARD}, on those of all shards.
+   */
   ForecastSearch search(JobSpec spec, int shard) {
     return new ForecastSearch(this, spec, shard);
   }
 
   StartTimeQueue queue(JobSpec spec, StartTimeQueue.Key key) {
-    return queues.computeIfAbsent(key, absent -> new StartTimeQueue(spec, absent, machines));
+    return queues.computeIfAbsent(key, newKey -> new StartTimeQueue(spec, newKey, machines));
   }
 
   /**
-   * The zone in which most of a job's tasks fit on a shard's machines at a time; the first of equal
-   * ones. Null if there are no zones.
+   * Returns the zone in which most of a job's tasks fit on a shard's machines at a time. Of equal
+   * zones the first one is returned. Null if there are no zones.
    */
-  String zoneWithMostCapacity(JobSpec spec, int shard, long atMicros, List<String> among) {
+  String zoneWithMostCapacity(JobSpec spec, int shard, long atMicros, List<String> candidateZones) {
     String best = null;
     long most = -1;
-    for (String zone : among) {
+    for (String zone : candidateZones) {
       long fitting = 0;
       for (MachineTimeline machine : machines) {
         if (machine.shard() == shard && machine.zone().equals(zone)) {
@@ -127,12 +136,17 @@
     return best;
   }
 
-  /** Places a task on a machine as early as it can start; returns when it would be running. */
+  /**
+   * Places a task on a machine as early as it can start. Returns the time at which the task would
+   * be running.
+   */
   long place(MachineTimeline machine, JobSpec spec, long runMicros) {
     return place(machine, spec, machine.earliestStartMicros(spec), runMicros, 1);
   }
 
-  /** Places tasks on a machine that start together; returns when they would be running. */
+  /**
+   * Places tasks that start together on a machine. Returns the time at which they would be running.
+   */
   long place(MachineTimeline machine, JobSpec spec, long startMicros, long runMicros, int count) {
     long runningMicros = startMicros + machine.fetchMicros(spec);
     long endMicros = runMicros >= NEVER ? NEVER : runningMicros + runMicros;
--- a/src/main/java/gladeknot/fleet/ForecastBuilder.java
+++ b/src/main/java/gladeknot/fleet/ForecastBuilder.java
@@ -8,13 +8,16 @@
 import gladeknot.workers.WorkerRegistry;
 
 /**
- * Builds forecasts of the machines of all shards, as far as the followed copy and heartbeats tell.
+ * Builds forecasts of the machines of all shards from the watch cache and the workers' heartbeats.
  */
 final class ForecastBuilder {
-  /** From when on an owned worker that should be up counts, at the earliest. */
-  private static final long MIN_START_MICROS = 1_000_000;
+  /**
+   * Minimum delay before a worker of an owned shard that has sent no heartbeat is assumed to be
+   * available, even if it should be up by now.
+   */
+  private static final long MIN_START_DELAY_MICROS = 1_000_000;
 
-  /** A worker without heartbeats is overdue after so many boot times. */
+  /** Number of boot times after which a worker without heartbeats is overdue. */
   private static final int OVERDUE_BOOTS = 2;
 
   private final Membership membership;
@@ -42,7 +45,10 @@
     this.clock = clock;
   }
 
-  /** A forecast of now: registered workers that can be counted on, and instances in flight. */
+  /**
+   * Builds a forecast as of now, with the registered workers that can be counted on and the
+   * instances in flight.
+   */
   Forecast build() {
     Forecast forecast = new Forecast();
     for (Worker worker : workers.all()) {
@@ -63,7 +69,10 @@
     return forecast;
   }
 
-  /** From when on a worker can be counted on; {@link Forecast#NEVER} if it can't. */
+  /**
+   * Returns the time from which a worker can be counted on, by the steady clock; {@link
+   * Forecast#NEVER} if it can't.
+   */
   private long availableFromMicros(Worker worker, MachineType type) {
     boolean owned = membership.ownedShards().contains(worker.shard());
     if (owned && worker.heartbeat() != null) {
@@ -76,8 +85,8 @@
     if (owned && isOverdue(worker, type, ageMicros)) {
       return Forecast.NEVER;
     }
-    long minMicros = owned ? MIN_START_MICROS : 0;
-    return clock.nowMicros() + Math.max(minMicros, type.readyMicros() - ageMicros);
+    long minDelayMicros = owned ? MIN_START_DELAY_MICROS : 0;
+    return clock.nowMicros() + Math.max(minDelayMicros, type.readyMicros() - ageMicros);
   }
 
   private boolean isUsable(Worker worker) {
@@ -86,11 +95,15 @@
         && !WorkerHealth.timedOut(worker, clock.nowMicros());
   }
 
-  /** Whether an owned worker without heartbeats should have been up long ago. */
+  /**
+   * Returns whether a worker of an owned shard that has sent no heartbeats should have been up long
+   * ago.
+   */
   private boolean isOverdue(Worker worker, MachineType type, long ageMicros) {
-    long dueMicros = OVERDUE_BOOTS * type.readyMicros() + WorkerHealth.HEARTBEAT_TIMEOUT_MICROS;
+    long overdueAgeMicros =
+        OVERDUE_BOOTS * type.readyMicros() + WorkerHealth.HEARTBEAT_TIMEOUT_MICROS;
     long ownedMicros = clock.nowMicros() - membership.ownedSinceMicros(worker.shard());
-    return ageMicros > dueMicros && ownedMicros > health.returnGraceMicros();
+    return ageMicros > overdueAgeMicros && ownedMicros > health.returnGraceMicros();
   }
 
   private void add(Forecast forecast, Worker worker, MachineType type, long fromMicros) {
--- a/src/main/java/gladeknot/fleet/ForecastSearch.java
+++ b/src/main/java/gladeknot/fleet/ForecastSearch.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Searches a forecast for machines for one job's tasks; what they share is worked out once. */
+/**
+ * Searches a forecast for machines for one job's tasks. The queues that the tasks share are looked
+ * up only when the forecast's zones or machine types have changed.
+ */
 final class ForecastSearch {
-  private static final int NONE_SEEN = -1;
+  private static final int NONE_COVERED = -1;
 
   private final Forecast forecast;
   private final JobSpec spec;
@@ -15,8 +18,8 @@
   private final List<StartTimeQueue> byType = new ArrayList<>();
   private final List<StartTimeQueue> byImage = new ArrayList<>();
 
-  /** How many pairs of zone and type the queues cover. */
-  private int pairsSeen = NONE_SEEN;
+  /** Number of pairs of zone and machine type that the queues cover. */
+  private int coveredPairs = NONE_COVERED;
 
   private long startMicros = Forecast.NEVER;
 
@@ -27,26 +30,30 @@
   }
 
   /**
-   * A machine that could start a task at once, or once it is up; null if none could (a hot loop).
+   * Returns a machine that could start a task at once or as soon as the machine is up. Called in a
+   * hot loop, so it returns null rather than an empty optional if no machine could.
    */
   MachineTimeline immediate(Map<String, Integer> tasksByZone) {
     findQueues();
     List<MachineTimeline> machines = forecast.machines();
-    int first = machines.size();
+    int firstIndex = machines.size();
     for (StartTimeQueue queue : byType) {
       if (spec.allowsZone(queue.zone(), tasksByZone)) {
-        first = Math.min(first, queue.firstImmediate());
+        firstIndex = Math.min(firstIndex, queue.firstImmediateIndex());
       }
     }
-    if (first == machines.size()) {
+    if (firstIndex == machines.size()) {
       startMicros = Forecast.NEVER;
       return null;
     }
-    startMicros = machines.get(first).earliestStartMicros(spec);
-    return machines.get(first);
+    startMicros = machines.get(firstIndex).earliestStartMicros(spec);
+    return machines.get(firstIndex);
   }
 
-  /** The machine on which the next task would run first; null if on none (a hot loop). */
+  /**
+   * Returns the machine on which the next task would run first. Called in a hot loop, so it returns
+   * null rather than an empty optional if no machine could run the task.
+   */
   MachineTimeline earliest(Map<String, Integer> tasksByZone) {
     findQueues();
     StartTimeQueue.Candidate earliest = earliest(byType, tasksByZone, null);
@@ -55,17 +62,20 @@
     return earliest == null ? null : earliest.machine();
   }
 
-  /** When a task could start on the machine found last, by the steady clock. */
+  /**
+   * Returns when a task could start on the machine found last, by the steady clock; {@link
+   * Forecast#NEVER} if none was found.
+   */
   long startMicros() {
     return startMicros;
   }
 
   private void findQueues() {
     int pairs = forecast.zones().size() * forecast.types().size();
-    if (pairsSeen == pairs) {
+    if (coveredPairs == pairs) {
       return;
     }
-    pairsSeen = pairs;
+    coveredPairs = pairs;
     byType.clear();
     byImage.clear();
     for (String zone : forecast.zones()) {
@@ -110,9 +120,11 @@
     return best;
   }
 
-  private boolean runsBefore(StartTimeQueue.Candidate one, StartTimeQueue.Candidate other) {
-    long oneMicros = one.startMicros() + one.machine().fetchMicros(spec);
+  private boolean runsBefore(StartTimeQueue.Candidate candidate, StartTimeQueue.Candidate other) {
+    long candidateMicros = candidate.startMicros() + candidate.machine().fetchMicros(spec);
     long otherMicros = other.startMicros() + other.machine().fetchMicros(spec);
-    return oneMicros != otherMicros ? oneMicros < otherMicros : one.order() < other.order();
+    return candidateMicros != otherMicros
+        ? candidateMicros < otherMicros
+        : candidate.machineIndex() < other.machineIndex();
   }
 }
--- a/src/main/java/gladeknot/fleet/IdleMachineTransfer.java
+++ b/src/main/java/gladeknot/fleet/IdleMachineTransfer.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Transfers idle machines of this controller's shards to a shard whose gang waits for machines: a
- * gang has to run on the machines of one shard.
+ * Transfers idle machines of this controller's shards to another owner's shard in which a gang
+ * waits for machines. A gang has to run on the machines of one shard.
  */
 final class IdleMachineTransfer {
   private static final Logger LOG = LoggerFactory.getLogger(IdleMachineTransfer.class);
@@ -36,7 +36,10 @@
     this.scheduler = scheduler;
   }
 
-  /** Transfers one machine at most, for the first gang of another owner that can use one. */
+  /**
+   * Transfers at most one machine, to the first pending gang of another owner's shard that can use
+   * one.
+   */
   void run(List<SchedulerView.PendingTasks> queue) {
     for (SchedulerView.PendingTasks pending : queue) {
       boolean gang = pending.job().spec().shape() == JobSpec.Shape.GANG && pending.count() > 1;
@@ -49,7 +52,7 @@
   private boolean transferFor(SchedulerView.PendingTasks pending) {
     JobSpec spec = pending.job().spec();
     for (Worker worker : workers.all()) {
-      if (isTransferable(worker) && suits(worker, spec)) {
+      if (isTransferable(worker) && canRunTask(worker, spec)) {
         transfer(worker, pending.shard(), spec.id());
         return true;
       }
@@ -64,7 +67,7 @@
         && worker.heartbeat().tasks().isEmpty();
   }
 
-  private boolean suits(Worker worker, JobSpec spec) {
+  private boolean canRunTask(Worker worker, JobSpec spec) {
     if (!spec.allowsMachine(worker.type(), worker.zone(), worker.spot())) {
       return false;
     }
@@ -72,7 +75,10 @@
     return type.fits(spec) > 0;
   }
 
-  /** The worker has seen this owner's term; the new owner raises its own above it to answer it. */
+  /**
+   * Transfers a worker to another shard. The worker has seen this owner's term, so the new owner
+   * has to raise its own term above that before it may answer the worker.
+   */
   private void transfer(Worker worker, int toShard, String jobId) {
     LOG.info(
         "machine transferred host={} from_shard={} to_shard={} job={}",
--- a/src/main/java/gladeknot/fleet/InstanceCatalog.java
+++ b/src/main/java/gladeknot/fleet/InstanceCatalog.java
@@ -11,15 +11,16 @@
 import java.util.Set;
 
 /**
- * The machine types that the cloud lists, and its offerings of them. Empty until they are known.
+ * The machine types that the cloud lists, and its offerings of them. Empty until the first list
+ * arrives.
  */
 public final class InstanceCatalog {
-  private static final double MICROS_PER_S = 1e6;
+  private static final double MICROS_PER_SECOND = 1e6;
 
   private final Map<String, MachineType> types = new LinkedHashMap<>();
   private final Map<String, InstanceOffering> offerings = new LinkedHashMap<>();
 
-  /** Takes over the types as the cloud lists them now; offerings keep their back-off. */
+  /** Replaces the types by a new list from the cloud. Offerings keep their backoff. */
   void update(List<MachineType> listed) {
     types.clear();
     Map<String, InstanceOffering> previous = new LinkedHashMap<>(offerings);
@@ -39,17 +40,20 @@
     offerings.put(offering.toString(), offering);
   }
 
-  /** Whether the cloud has listed its types yet. */
+  /** Returns whether the cloud has listed its types yet. */
   public boolean isKnown() {
     return !types.isEmpty();
   }
 
-  /** A type by name; null if the cloud doesn't list it. Asked in hot loops. */
+  /**
+   * Returns a type by name. Called in hot loops, so it returns null rather than an empty optional
+   * if the cloud doesn't list the type.
+   */
   public MachineType type(String name) {
     return types.get(name);
   }
 
-  /** The size of a type's image cache in GB; 0 if the cloud doesn't list the type. */
+  /** Returns the size of a type's image cache in GB; 0 if the cloud doesn't list the type. */
   public double cacheGb(String typeName) {
     MachineType type = types.get(typeName);
     return type == null ? 0 : type.cacheGb();
@@ -63,7 +67,7 @@
     return offerings.values();
   }
 
-  /** Zones in which some type is offered, in the order of the cloud's list. */
+  /** Returns the zones in which any type is offered, in the order of the cloud's list. */
   public List<String> zones() {
     Set<String> zones = new LinkedHashSet<>();
     for (MachineType type : types.values()) {
@@ -72,7 +76,7 @@
     return new ArrayList<>(zones);
   }
 
-  /** Whether any offering is worth a call. */
+  /** Returns whether any offering is available, that is, not in backoff. */
   boolean anyAvailable(long nowMicros) {
     for (InstanceOffering offering : offerings.values()) {
       if (offering.isAvailable(nowMicros)) {
@@ -82,7 +86,7 @@
     return false;
   }
 
-  /** Whether a task of a job fits a machine of any type and zone that the job allows. */
+  /** Returns whether a task of a job fits a machine of any type and zone that the job allows. */
   public boolean fitsSomeType(JobSpec spec) {
     for (MachineType type : types.values()) {
       if (isUsable(spec, type) && (spec.zone() == null || type.zones().contains(spec.zone()))) {
@@ -93,30 +97,33 @@
   }
 
   /**
-   * How soon an instance requested now could run a task, in microseconds; {@link Forecast#NEVER} if
-   * no type fits.
+   * Returns the shortest delay, in microseconds, after which an instance requested now could run a
+   * task; {@link Forecast#NEVER} if no type fits.
    */
-  long soonestStartMicros(JobSpec spec) {
-    long soonest = Forecast.NEVER;
+  long minStartDelayMicros(JobSpec spec) {
+    long minMicros = Forecast.NEVER;
     for (MachineType type : types.values()) {
       if (isUsable(spec, type)) {
-        soonest = Math.min(soonest, startMicros(spec, type));
+        minMicros = Math.min(minMicros, startDelayMicros(spec, type));
       }
     }
-    return soonest;
+    return minMicros;
   }
 
-  /** How long an instance requested now takes to boot and to fetch a task's image. */
-  static long startMicros(JobSpec spec, MachineType type) {
+  /**
+   * Returns how long an instance requested now takes to boot and to fetch a task's image, in
+   * microseconds.
+   */
+  static long startDelayMicros(JobSpec spec, MachineType type) {
     return type.readyMicros() + fetchMicros(spec, type);
   }
 
-  /** How long a machine of a type takes to fetch a job's image. */
+  /** Returns how long a machine of a type takes to fetch a job's image, in microseconds. */
   static long fetchMicros(JobSpec spec, MachineType type) {
-    return (long) (spec.imageGb() / type.fetchGbPerS() * MICROS_PER_S);
+    return (long) (spec.imageGb() / type.fetchGbPerS() * MICROS_PER_SECOND);
   }
 
-  /** Whether a job allows a type, and an empty machine of it takes a task. */
+  /** Returns whether a job allows a type and a task fits an empty machine of the type. */
   static boolean isUsable(JobSpec spec, MachineType type) {
     return type.fits(spec) > 0
         && (spec.machineTypes() == null || spec.machineTypes().contains(type.name()));
--- a/src/main/java/gladeknot/fleet/InstanceOffering.java
+++ b/src/main/java/gladeknot/fleet/InstanceOffering.java
@@ -2,21 +2,24 @@
 
 import gladeknot.workers.MachineType;
 
-/** A machine type in a zone, spot or on demand, and how long it is to be left alone. */
+/** A machine type in a zone, spot or on demand, with its backoff after failed requests. */
 final class InstanceOffering {
-  /** Back-off after a refusal, doubled with each refusal in a row. */
-  private static final long BACKOFF_MICROS = 5_000_000;
+  /**
+   * Base of the backoff after a refusal. It is doubled for each consecutive refusal, including the
+   * first one, at most {@link #MAX_DOUBLINGS} times.
+   */
+  private static final long BASE_BACKOFF_MICROS = 5_000_000;
 
   private static final int MAX_DOUBLINGS = 2;
 
-  /** Back-off after an outage of the cloud. */
+  /** Backoff after an outage of the cloud, in microseconds. */
   private static final long OUTAGE_BACKOFF_MICROS = 3_000_000;
 
   private MachineType type;
   private final String zone;
   private final boolean spot;
   private long backoffUntilMicros;
-  private int refusals;
+  private int consecutiveRefusals;
 
   InstanceOffering(MachineType type, String zone, boolean spot) {
     this.type = type;
@@ -36,40 +39,40 @@
     return spot;
   }
 
-  /** The price of an hour. */
+  /** Returns the price per hour. */
   double price() {
     return type.price(spot);
   }
 
-  /** Takes over what the cloud says of the type now; back-off stays. */
+  /** Replaces the type by the one that the cloud lists now. The backoff stays. */
   void updateType(MachineType listed) {
     type = listed;
   }
 
-  /** Whether a request for it is worth a call. */
+  /** Returns whether this offering may be requested, that is, is not in backoff. */
   boolean isAvailable(long nowMicros) {
     return nowMicros >= backoffUntilMicros;
   }
 
-  /** Notes that the cloud lacks such instances, or some of those requested. */
+  /** Starts a backoff because the cloud lacks some or all of the requested instances. */
   void onRefused(long nowMicros) {
-    refusals = Math.min(refusals + 1, MAX_DOUBLINGS);
-    backoffUntilMicros = nowMicros + (BACKOFF_MICROS << refusals);
+    consecutiveRefusals = Math.min(consecutiveRefusals + 1, MAX_DOUBLINGS);
+    backoffUntilMicros = nowMicros + (BASE_BACKOFF_MICROS << consecutiveRefusals);
   }
 
-  /** Notes that the cloud was out of order when it was asked. */
+  /** Starts a backoff because the cloud had an outage. Counts as one refusal. */
   void onOutage(long nowMicros) {
-    refusals = 1;
+    consecutiveRefusals = 1;
     backoffUntilMicros = nowMicros + OUTAGE_BACKOFF_MICROS;
   }
 
-  /** Notes that a request was fulfilled. */
+  /** Ends the backoff because a request was fulfilled. */
   void onFulfilled() {
-    refusals = 0;
+    consecutiveRefusals = 0;
     backoffUntilMicros = 0;
   }
 
-  /** Its name in the catalogue and in log lines. */
+  /** Returns the name of the offering in the catalogue and in log lines. */
   @Override
   public String toString() {
     return type.name() + "/" + zone + "/" + (spot ? "spot" : "ordinary");
--- a/src/main/java/gladeknot/fleet/MachineBin.java
+++ b/src/main/java/gladeknot/fleet/MachineBin.java
@@ -3,7 +3,7 @@
 import gladeknot.jobs.JobSpec;
 import gladeknot.workers.MachineType;
 
-/** A machine, there or requested, as a bin that tasks are packed into; empty at first. */
+/** A registered or requested machine as a bin that tasks are packed into, initially empty. */
 final class MachineBin {
   private final String host;
   private final MachineType type;
@@ -27,21 +27,22 @@
   }
 
   /**
-   * A machine that there is.
+   * Returns a bin for a registered worker.
    *
-   * @param replicas how many replicas of services run on it, which stay until their jobs end
+   * @param replicas the number of replicas of services that run on it; they stay until their jobs
+   *     end
    */
   static MachineBin ofWorker(
       String host, MachineType type, String zone, boolean spot, int replicas) {
     return new MachineBin(host, type, zone, spot, replicas);
   }
 
-  /** An instance that is requested. */
+  /** Returns a bin for a requested instance. */
   static MachineBin ofRequested(InstanceOffering offering) {
     return new MachineBin("", offering.type(), offering.zone(), offering.spot(), 0);
   }
 
-  /** The machine's name; empty for a requested instance. */
+  /** Returns the machine's host name; empty for a requested instance. */
   String host() {
     return host;
   }
@@ -54,7 +55,7 @@
     return replicas;
   }
 
-  /** Whether a task was packed into it. */
+  /** Returns whether a task was packed into this bin. */
   boolean used() {
     return used;
   }
@@ -67,7 +68,7 @@
     return type.price(spot) / type.cpus();
   }
 
-  /** Whether a task may run here and fits in what is free. */
+  /** Returns whether a task may run on this machine and fits in its free resources. */
   boolean fits(JobSpec spec) {
     return spec.allowsMachine(type.name(), zone, spot)
         && freeCpus >= spec.cpus()
@@ -75,7 +76,7 @@
         && freeMemory >= spec.memory();
   }
 
-  /** Packs one task; false if it doesn't fit. */
+  /** Packs one task. Returns false if it doesn't fit. */
   boolean add(JobSpec spec) {
     if (!fits(spec)) {
       return false;
--- a/src/main/java/gladeknot/fleet/MachineTimeline.java
+++ b/src/main/java/gladeknot/fleet/MachineTimeline.java
@@ -6,9 +6,12 @@
 import java.util.Collection;
 import java.util.List;
 
-/** What a machine has free over time, as running tasks end and planned ones start. */
+/** The free resources of a machine over time, as running tasks end and planned tasks start. */
 final class MachineTimeline {
-  /** What becomes free at a time, or is taken from then on if negative; in thousandths. */
+  /**
+   * Resources, in thousandths, that become free at a time or, if negative, are taken from that time
+   * on.
+   */
   private record ResourceChange(long atMicros, long cpus, long gpus, long memory) {}
 
   private final MachineType type;
@@ -17,15 +20,18 @@
   private final int shard;
   private final long fromMicros;
 
-  /** As the machine has them: a forecast is over before they change. */
+  /**
+   * The machine's own collection of cached images. It needs no copying, since a forecast is over
+   * before the collection changes.
+   */
   private final Collection<String> cachedImages;
 
-  /** By time. */
+  /** Ordered by time. */
   private final List<ResourceChange> changes = new ArrayList<>();
 
   private int version;
 
-  /** A machine that is empty from a time on, by the steady clock. */
+  /** Creates a machine that is up and empty from {@code fromMicros} on, by the steady clock. */
   MachineTimeline(
       MachineType type,
       String zone,
@@ -39,10 +45,12 @@
     this.shard = shard;
     this.fromMicros = fromMicros;
     this.cachedImages = cachedImages;
-    change(fromMicros, type.cpus(), type.gpus(), type.memory());
+    addChange(fromMicros, type.cpus(), type.gpus(), type.memory());
   }
 
-  /** An instance that is requested now, or was and isn't up yet. */
+  /**
+   * Returns the timeline of an instance that is requested now, or was requested and isn't up yet.
+   */
   static MachineTimeline ofRequested(InstanceOffering offering, int shard, long nowMicros) {
     MachineType type = offering.type();
     long fromMicros = nowMicros + type.readyMicros();
@@ -62,7 +70,7 @@
     return shard;
   }
 
-  /** From when on the machine is up. */
+  /** Returns the time from which the machine is up, by the steady clock. */
   long fromMicros() {
     return fromMicros;
   }
@@ -71,12 +79,15 @@
     return cachedImages.contains(image);
   }
 
-  /** Grows with each change, so that a machine is evaluated again only after one. */
+  /**
+   * Returns the version of the timeline. Each change increments it, so that a machine is evaluated
+   * again only after a change.
+   */
   int version() {
     return version;
   }
 
-  private void change(long atMicros, long cpus, long gpus, long memory) {
+  private void addChange(long atMicros, long cpus, long gpus, long memory) {
     version++;
     int i = changes.size();
     while (i > 0 && changes.get(i - 1).atMicros() > atMicros) {
@@ -85,15 +96,21 @@
     changes.add(i, new ResourceChange(atMicros, cpus, gpus, memory));
   }
 
-  /** Takes resources from a time to another, or for good if that is {@link Forecast#NEVER}. */
+  /**
+   * Takes resources from {@code fromMicros} to {@code toMicros}, or for good if {@code toMicros} is
+   * {@link Forecast#NEVER}.
+   */
   void reserve(long fromMicros, long toMicros, long cpus, long gpus, long memory) {
-    change(fromMicros, -cpus, -gpus, -memory);
+    addChange(fromMicros, -cpus, -gpus, -memory);
     if (toMicros < Forecast.NEVER) {
-      change(toMicros, cpus, gpus, memory);
+      addChange(toMicros, cpus, gpus, memory);
     }
   }
 
-  /** When a task could start; {@link Forecast#NEVER} if it can't. */
+  /**
+   * Returns the earliest time at which a task could start, by the steady clock; {@link
+   * Forecast#NEVER} if it can't start on this machine.
+   */
   long earliestStartMicros(JobSpec spec) {
     if (!spec.allowsMachine(type.name(), zone, spot) || type.fits(spec) == 0) {
       return Forecast.NEVER;
@@ -106,16 +123,16 @@
       cpus += change.cpus();
       gpus += change.gpus();
       memory += change.memory();
-      boolean lastOfItsTime =
+      boolean lastAtItsTime =
           i + 1 == changes.size() || changes.get(i + 1).atMicros() > change.atMicros();
-      if (lastOfItsTime && cpus >= spec.cpus() && gpus >= spec.gpus() && memory >= spec.memory()) {
+      if (lastAtItsTime && cpus >= spec.cpus() && gpus >= spec.gpus() && memory >= spec.memory()) {
         return change.atMicros();
       }
     }
     return Forecast.NEVER;
   }
 
-  /** How many of a job's tasks fit at a time. */
+  /** Returns how many of a job's tasks fit in the resources that are free at a time. */
   long fittingTasks(JobSpec spec, long atMicros) {
     if (!spec.allowsMachine(type.name(), zone, spot)) {
       return 0;
@@ -134,7 +151,10 @@
     return Math.max(0, spec.gpus() > 0 ? Math.min(fitting, gpus / spec.gpus()) : fitting);
   }
 
-  /** How long the machine takes to fetch a job's image; 0 if it has it. */
+  /**
+   * Returns how long the machine takes to fetch a job's image, in microseconds; 0 if the image is
+   * cached.
+   */
   long fetchMicros(JobSpec spec) {
     return hasImage(spec.image()) ? 0 : InstanceCatalog.fetchMicros(spec, type);
   }
--- a/src/main/java/gladeknot/fleet/OfferingSelector.java
+++ b/src/main/java/gladeknot/fleet/OfferingSelector.java
@@ -9,18 +9,24 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Selects the offering that suits tasks best: the cheapest that is up in time. */
+/** Selects the offering for tasks: in general, the cheapest one that is up in time. */
 final class OfferingSelector {
-  /** What a second of lateness counts against a price an hour, when no offering is in time. */
-  private static final double LATENESS_COST_PER_S = 0.05;
+  /**
+   * Penalty per second by which an offering is up too late, in units of the price per hour. It
+   * decides when no offering is in time.
+   */
+  private static final double LATENESS_COST_PER_SECOND = 0.05;
 
-  /** A boot that takes this long doubles what a price counts. */
+  /** Boot time that doubles the weight of a price, in microseconds. */
   private static final double BOOT_PENALTY_MICROS = 60e6;
 
-  /** What each machine of a zone adds to the price there when tasks are to be spread over zones. */
+  /**
+   * Relative increase of the score of a zone's offerings for each machine in the zone. It applies
+   * to jobs whose tasks are spread over zones.
+   */
   private static final double ZONE_BALANCE_FACTOR = 0.05;
 
-  private static final double MICROS_PER_S = 1e6;
+  private static final double MICROS_PER_SECOND = 1e6;
 
   private final InstanceCatalog catalog;
   private final Policy policy;
@@ -45,20 +51,24 @@
   /**
    * Tasks that need an instance.
    *
-   * @param spec their job
-   * @param tasksByZone how many of the job's tasks are in each zone
-   * @param count how many tasks could use it
-   * @param latestStartMicros when they should run at the latest, by the steady clock
-   * @param otherwiseMicros when they would start without it; an instance up later is of no use
+   * @param spec the job of the tasks
+   * @param tasksByZone the number of the job's tasks in each zone
+   * @param count the number of tasks that could use the instance
+   * @param latestStartMicros the latest time at which the tasks should run, by the steady clock
+   * @param fallbackStartMicros when the tasks would run without the instance, by the steady clock;
+   *     an instance that can't run them earlier is of no use
    */
   record InstanceRequest(
       JobSpec spec,
       Map<String, Integer> tasksByZone,
       int count,
       long latestStartMicros,
-      long otherwiseMicros) {}
+      long fallbackStartMicros) {}
 
-  /** Counts the machines of each zone, from which selections spread tasks until the next count. */
+  /**
+   * Counts the machines of each zone. Selections use these counts, until the next call, to spread
+   * tasks over zones.
+   */
   void countMachinesByZone() {
     machinesByZone.clear();
     for (Worker worker : workers.all()) {
@@ -67,25 +77,27 @@
   }
 
   /**
-   * The cheapest offering that is up in time, or the soonest if none is; empty if none helps.
+   * Returns the offering with the lowest score: in general the cheapest one that is up in time, or
+   * the soonest one if none is. Empty if no offering is of use.
    *
-   * @param plan the instances that are to be requested already
+   * @param plan the instances planned so far
    */
   Optional<InstanceOffering> select(InstanceRequest request, ScaleOutPlan plan) {
     long nowMicros = clock.nowMicros();
     int maxCount = ScaleOutRequests.MAX_INSTANCES * Math.max(1, cloud.availableCalls());
-    double maxGpuPrice = cheapestWithoutGpus(request.spec()) * policy.number(Policy.Name.DEAR);
+    double maxGpuPrice = cheapestPriceWithoutGpus(request.spec()) * policy.number(Policy.Name.DEAR);
     InstanceOffering best = null;
     double bestScore = 0;
     for (InstanceOffering offering : catalog.offerings()) {
       if (!isEligible(offering, request, maxGpuPrice) || plan.count(offering) >= maxCount) {
         continue;
       }
-      long upMicros = nowMicros + InstanceCatalog.startMicros(request.spec(), offering.type());
-      if (upMicros >= request.otherwiseMicros()) {
+      long runningMicros =
+          nowMicros + InstanceCatalog.startDelayMicros(request.spec(), offering.type());
+      if (runningMicros >= request.fallbackStartMicros()) {
         continue;
       }
-      double score = score(offering, request, upMicros);
+      double score = score(offering, request, runningMicros);
       if (best == null || score < bestScore) {
         best = offering;
         bestScore = score;
@@ -98,26 +110,32 @@
       InstanceOffering offering, InstanceRequest request, double maxGpuPrice) {
     JobSpec spec = request.spec();
     MachineType type = offering.type();
-    int fits = type.fits(spec);
-    if (fits == 0 || !offering.isAvailable(clock.nowMicros())) {
+    int tasksPerMachine = type.fits(spec);
+    if (tasksPerMachine == 0 || !offering.isAvailable(clock.nowMicros())) {
       return false;
     }
-    boolean idleGpus = spec.gpus() == 0 && type.gpus() > 0;
+    boolean leavesGpusIdle = spec.gpus() == 0 && type.gpus() > 0;
     boolean service = spec.shape() == JobSpec.Shape.SERVICE;
-    if (idleGpus && (service || offering.price() / fits > maxGpuPrice)) {
+    if (leavesGpusIdle && (service || offering.price() / tasksPerMachine > maxGpuPrice)) {
       return false;
     }
     return spec.allowsMachine(type.name(), offering.zone(), offering.spot())
         && spec.allowsZone(offering.zone(), request.tasksByZone());
   }
 
-  /** The price of a task, weighted by boot time, lateness and, for spread jobs, zone. */
-  private double score(InstanceOffering offering, InstanceRequest request, long upMicros) {
+  /**
+   * Returns the price per task, weighted by boot time, by lateness and, for spread jobs, by the
+   * number of machines in the zone.
+   */
+  private double score(InstanceOffering offering, InstanceRequest request, long runningMicros) {
     MachineType type = offering.type();
     double score = offering.price() / Math.min(type.fits(request.spec()), request.count());
     score *= 1 + type.readyMicros() / BOOT_PENALTY_MICROS;
-    if (upMicros > request.latestStartMicros()) {
-      score += LATENESS_COST_PER_S * (upMicros - request.latestStartMicros()) / MICROS_PER_S;
+    if (runningMicros > request.latestStartMicros()) {
+      score +=
+          LATENESS_COST_PER_SECOND
+              * (runningMicros - request.latestStartMicros())
+              / MICROS_PER_SECOND;
     }
     if (request.spec().spread()) {
       score *= 1 + ZONE_BALANCE_FACTOR * machinesByZone.getOrDefault(offering.zone(), 0);
@@ -125,8 +143,8 @@
     return score;
   }
 
-  /** What a task costs an hour on the cheapest machine without GPUs, on demand. */
-  private double cheapestWithoutGpus(JobSpec spec) {
+  /** Returns the price per task and hour of the cheapest on-demand machine without GPUs. */
+  private double cheapestPriceWithoutGpus(JobSpec spec) {
     double cheapest = Double.MAX_VALUE;
     for (MachineType type : catalog.types()) {
       if (type.gpus() == 0 && InstanceCatalog.isUsable(spec, type)) {
--- a/src/main/java/gladeknot/fleet/ReactiveScaleOut.java
+++ b/src/main/java/gladeknot/fleet/ReactiveScaleOut.java
@@ -5,7 +5,7 @@
 
 /**
  * Requests instances for pending tasks of the owned shards that would start too late on the
- * machines that are there or were requested.
+ * existing machines and the instances in flight.
  */
 final class ReactiveScaleOut {
   private final Policy policy;
@@ -39,10 +39,10 @@
     this.clock = clock;
   }
 
-  /** Places the pending tasks in a forecast, and requests the instances that they lack. */
+  /** Places the pending tasks in a forecast and requests the instances that they lack. */
   void run(List<SchedulerView.PendingTasks> queue) {
-    int lastOwned = lastOwned(queue);
-    if (lastOwned < 0 || !catalog.anyAvailable(clock.nowMicros())) {
+    int lastOwnedIndex = lastOwnedIndex(queue);
+    if (lastOwnedIndex < 0 || !catalog.anyAvailable(clock.nowMicros())) {
       return;
     }
     ScaleOutRound round =
@@ -55,19 +55,19 @@
             clock,
             forecasts.build(),
             limits.maxTasks());
-    // What comes after the last owned tasks takes nothing from them.
-    for (SchedulerView.PendingTasks pending : queue.subList(0, lastOwned + 1)) {
+    // Tasks after the last ones of an owned shard are scheduled later and take nothing from them.
+    for (SchedulerView.PendingTasks pending : queue.subList(0, lastOwnedIndex + 1)) {
       round.place(pending);
     }
     requests.submit(round.plan(), round.shard());
   }
 
-  /** The place of the last tasks of an owned shard; -1 if there are none. */
-  private static int lastOwned(List<SchedulerView.PendingTasks> queue) {
-    int last = queue.size() - 1;
-    while (last >= 0 && !queue.get(last).owned()) {
-      last--;
+  /** Returns the index of the last pending tasks of an owned shard; -1 if there are none. */
+  private static int lastOwnedIndex(List<SchedulerView.PendingTasks> queue) {
+    int index = queue.size() - 1;
+    while (index >= 0 && !queue.get(index).owned()) {
+      index--;
     }
-    return last;
+    return index;
   }
 }
--- a/src/main/java/gladeknot/fleet/ScaleIn.java
+++ b/src/main/java/gladeknot/fleet/ScaleIn.java
@@ -16,28 +16,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Releases instances that are idle, broken, lost or never came up. A worker's record is marked
- * before the cloud is asked to delete its instance.
+ * Releases instances that are idle, broken, lost or never came up. A worker's record is marked as
+ * terminating before the cloud is asked to delete its instance.
  */
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
-  /** The most instances that the protocol lets one request release. */
-  private static final int MAX_RELEASED = 100;
+  /** Maximum number of instances that the cloud's protocol releases per request. */
+  private static final int MAX_HOSTS_PER_RELEASE = 100;
 
-  /** How many times as long a worker is kept while most workers of its zone are lost. */
+  /** Factor that extends the loss timeout while most workers of a zone miss heartbeats. */
   private static final int ZONE_LOSS_FACTOR = 4;
 
-  /** An instance is charged for a minute at least. */
+  /**
+   * Minimum age of an idle instance before it is released, since an instance is charged for at
+   * least a minute.
+   */
   private static final long MIN_CHARGED_MICROS = 55_000_000;
 
-  /** The boot time that is assumed of an unknown type. */
-  private static final long UNKNOWN_READY_MICROS = 60_000_000;
+  /** Boot time assumed for an unknown machine type. */
+  private static final long DEFAULT_READY_MICROS = 60_000_000;
 
-  /** How much longer than its boot an instance may take before it is given up. */
+  /** Time added to the allowed boot time before an instance without heartbeats is given up. */
   private static final long READY_MARGIN_MICROS = 10_000_000;
 
-  /** Why an instance is released; the text stands in log lines. */
+  /** Reason for the release of an instance. The text appears in log lines. */
   enum Reason {
     ALREADY_TERMINATING("already_terminating"),
     HEARTBEAT_TIMEOUT("heartbeat_timeout"),
@@ -69,8 +72,8 @@
   private final WorkerHealth health;
   private final FleetClock clock;
 
-  /** Hosts marked as terminating that wait for a call to the cloud, with their shards. */
-  private final Map<String, Integer> toRelease = new LinkedHashMap<>();
+  /** Shards by host of the workers that are marked as terminating and wait for a release call. */
+  private final Map<String, Integer> pendingReleases = new LinkedHashMap<>();
 
   ScaleIn(
       Policy policy,
@@ -93,7 +96,7 @@
     this.clock = clock;
   }
 
-  /** Releases machines of the owned shards, and sends the releases that wait. */
+  /** Decides which machines of the owned shards to release, and sends the pending releases. */
   void step() {
     for (int shard : List.copyOf(membership.ownedShards())) {
       if (membership.permits(ControlAction.SCALE_IN, shard)) {
@@ -106,19 +109,19 @@
   private void scaleIn(int shard) {
     for (Worker worker : workers.inShard(shard)) {
       if (!worker.releasing()) {
-        reason(worker, shard).ifPresent(reason -> release(worker, reason));
+        releaseReason(worker, shard).ifPresent(reason -> release(worker, reason));
       }
     }
   }
 
-  /** Why a worker is to be released; empty if it stays. */
-  private Optional<Reason> reason(Worker worker, int shard) {
+  /** Returns the reason to release a worker; empty if it stays. */
+  private Optional<Reason> releaseReason(Worker worker, int shard) {
     boolean busy = !worker.attempts().isEmpty();
     if (worker.terminating()) {
       return Optional.of(Reason.ALREADY_TERMINATING);
     }
     if (worker.heartbeat() == null) {
-      return reasonWithoutHeartbeat(worker, shard, busy);
+      return releaseReasonWithoutHeartbeat(worker, shard, busy);
     }
     if (isLost(worker)) {
       return Optional.of(Reason.HEARTBEAT_TIMEOUT);
@@ -132,14 +135,17 @@
     return isSurplus(worker, busy) ? Optional.of(Reason.IDLE) : Optional.empty();
   }
 
-  /** The same for a worker without a heartbeat since its shard was acquired. */
-  private Optional<Reason> reasonWithoutHeartbeat(Worker worker, int shard, boolean busy) {
+  /**
+   * Returns the reason to release a worker that has sent no heartbeat since its shard was acquired;
+   * empty if it stays.
+   */
+  private Optional<Reason> releaseReasonWithoutHeartbeat(Worker worker, int shard, boolean busy) {
     MachineType type = catalog.type(worker.type());
-    long readyMicros = type == null ? UNKNOWN_READY_MICROS : type.readyMicros();
+    long readyMicros = type == null ? DEFAULT_READY_MICROS : type.readyMicros();
     long ageMicros = Math.max(0, clock.wallMicros() - worker.launchedWallMicros());
     long ownedMicros = clock.nowMicros() - membership.ownedSinceMicros(shard);
     long graceMicros = busy ? health.lossTimeoutMicros() : health.returnGraceMicros();
-    // Twice the boot time and a quarter: boots take longer at times.
+    // Boots sometimes take longer than listed, so 2.25 times the boot time is allowed.
     if (ageMicros <= 2 * readyMicros + readyMicros / 4 + READY_MARGIN_MICROS
         || ownedMicros <= graceMicros) {
       return Optional.empty();
@@ -148,13 +154,17 @@
   }
 
   private boolean isLost(Worker worker) {
-    long sinceMicros = clock.nowMicros() - worker.heartbeatMicros();
+    long sinceHeartbeatMicros = clock.nowMicros() - worker.heartbeatMicros();
     long timeoutMicros = health.lossTimeoutMicros();
-    return sinceMicros > timeoutMicros
-        && (sinceMicros > ZONE_LOSS_FACTOR * timeoutMicros || !isZoneTimedOut(worker.zone()));
+    return sinceHeartbeatMicros > timeoutMicros
+        && (sinceHeartbeatMicros > ZONE_LOSS_FACTOR * timeoutMicros
+            || !isZoneTimedOut(worker.zone()));
   }
 
-  /** Whether nothing has run on a worker for a while, and no expected load needs it. */
+  /**
+   * Records whether a worker is busy or idle. Returns whether it has been idle for long enough and
+   * is not needed for the expected load.
+   */
   private boolean isSurplus(Worker worker, boolean busy) {
     if (busy || !worker.heartbeat().tasks().isEmpty()) {
       worker.markBusy();
@@ -167,51 +177,51 @@
   }
 
   /**
-   * Whether most workers of a zone miss heartbeats: then the zone is partitioned rather than each
-   * of them broken, and they will be of use after the partition.
+   * Returns whether most workers of a zone miss heartbeats. The zone is then more likely
+   * partitioned than each worker broken, and the workers will be of use after the partition.
    */
   private boolean isZoneTimedOut(String zone) {
-    int all = 0;
+    int total = 0;
     int timedOut = 0;
     for (Worker worker : workers.all()) {
       if (worker.heartbeat() != null && worker.zone().equals(zone)) {
-        all++;
+        total++;
         timedOut += WorkerHealth.timedOut(worker, clock.nowMicros()) ? 1 : 0;
       }
     }
-    return timedOut >= 2 && timedOut * 2 > all;
+    return timedOut >= 2 && timedOut * 2 > total;
   }
 
-  /** Marks a worker as terminating and has its instance released. */
+  /** Marks a worker as terminating and schedules the release of its instance. */
   void release(Worker worker, Reason reason) {
     worker.setReleasing(true);
     String host = worker.host();
     int shard = worker.shard();
     LOG.info("instance releasing host={} shard={} reason={}", host, shard, reason);
     if (worker.terminating()) {
-      toRelease.put(host, shard);
+      pendingReleases.put(host, shard);
       return;
     }
     records.markTerminating(
         worker,
         committed -> {
           if (committed) {
-            toRelease.put(host, shard);
+            pendingReleases.put(host, shard);
           } else {
             worker.setReleasing(false);
           }
         });
   }
 
-  /** Releases what waits for it, many instances with one call. */
+  /** Sends the pending releases, many instances in one call. */
   private void sendReleases() {
-    if (toRelease.isEmpty()) {
+    if (pendingReleases.isEmpty()) {
       return;
     }
     Map<String, Integer> batch = new LinkedHashMap<>();
-    for (Map.Entry<String, Integer> waiting : toRelease.entrySet()) {
-      if (batch.size() < MAX_RELEASED) {
-        batch.put(waiting.getKey(), waiting.getValue());
+    for (Map.Entry<String, Integer> pending : pendingReleases.entrySet()) {
+      if (batch.size() < MAX_HOSTS_PER_RELEASE) {
+        batch.put(pending.getKey(), pending.getValue());
       }
     }
     List<String> hosts = new ArrayList<>(batch.keySet());
@@ -219,7 +229,7 @@
         cloud.release(
             hosts, released -> batch.forEach((host, shard) -> onReply(host, shard, released)));
     if (sent) {
-      toRelease.keySet().removeAll(hosts);
+      pendingReleases.keySet().removeAll(hosts);
     }
   }
 
--- a/src/main/java/gladeknot/fleet/ScaleOutPlan.java
+++ b/src/main/java/gladeknot/fleet/ScaleOutPlan.java
@@ -4,11 +4,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Instances to request: how many of each offering, in the order in which each was first needed. */
+/**
+ * Instances to request: the number per offering, in the order in which the offerings were first
+ * added.
+ */
 final class ScaleOutPlan {
   private final Map<InstanceOffering, Integer> counts = new LinkedHashMap<>();
 
-  /** Adds one instance. */
+  /** Adds one instance of an offering. */
   void add(InstanceOffering offering) {
     counts.merge(offering, 1, Integer::sum);
   }
--- a/src/main/java/gladeknot/fleet/ScaleOutRequest.java
+++ b/src/main/java/gladeknot/fleet/ScaleOutRequest.java
@@ -2,18 +2,18 @@
 
 /** A request for instances of one offering, from the first call to its final answer. */
 final class ScaleOutRequest {
-  /** How often the cloud is asked at most while it doesn't answer. */
+  /** Maximum number of calls for one request while the cloud doesn't answer. */
   private static final int MAX_ATTEMPTS = 4;
 
-  /** Where a request stands; the last two are final. */
+  /** The state of a request. {@link #FULFILLED} and {@link #FAILED} are final. */
   enum State {
-    /** Sent once, and not answered yet. */
+    /** Sent once and not answered yet. */
     PENDING,
-    /** Sent again since no answer arrived; the instances may have been started. */
+    /** Sent again because no answer arrived. The instances may have been started. */
     RETRYING,
     /** All instances were started. */
     FULFILLED,
-    /** Some instances or all were refused, or no answer arrived in the end. */
+    /** Some or all instances were refused, or no answer arrived to any of the calls. */
     FAILED
   }
 
@@ -25,10 +25,10 @@
   private State state = State.PENDING;
 
   /**
-   * A request to be sent.
+   * Creates a request that is to be sent.
    *
-   * @param name never used before, also not by earlier incarnations: the cloud answers a name that
-   *     it knows with the same instances
+   * @param name a name that was never used before, not even by earlier incarnations: the cloud
+   *     answers a repeated name with the instances that it started for the first request
    * @param shard the shard whose owner requests the instances
    */
   ScaleOutRequest(String name, InstanceOffering offering, int count, int shard) {
@@ -58,7 +58,7 @@
     return state;
   }
 
-  /** Notes an answer, or that none arrived; returns the state that follows. */
+  /** Records an answer, or that none arrived. Returns the new state of the request. */
   State onReply(CloudCodec.ScaleOutResponse response) {
     if (!response.answered() && attempts < MAX_ATTEMPTS) {
       attempts++;
--- a/src/main/java/gladeknot/fleet/ScaleOutRequests.java
+++ b/src/main/java/gladeknot/fleet/ScaleOutRequests.java
@@ -10,16 +10,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Scale-out requests in flight. Their instances count as coming until the answer is known; those
- * that the cloud started are registered.
+ * Scale-out requests in flight. Planning counts their instances as machines until the final answer
+ * arrives. Instances that the cloud has started are then registered.
  */
 final class ScaleOutRequests {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
 
-  /** The most instances that the protocol lets one request ask for. */
+  /** Maximum number of instances that the cloud's protocol allows in one request. */
   static final int MAX_INSTANCES = 50;
 
-  /** Learns of requests that brought fewer instances than requested. */
+  /** Notified when a request yields fewer instances than requested. */
   interface FailureListener {
     void onScaleOutFailed();
   }
@@ -48,12 +48,12 @@
     this.listener = listener;
   }
 
-  /** The requests without a final answer, in the order in which they were sent. */
+  /** Returns the requests without a final answer, in the order in which they were sent. */
   List<ScaleOutRequest> inFlight() {
     return Collections.unmodifiableList(inFlight);
   }
 
-  /** How many instances are requested and not answered for. */
+  /** Returns the number of instances requested by the requests in flight. */
   int instancesInFlight() {
     int count = 0;
     for (ScaleOutRequest request : inFlight) {
@@ -62,21 +62,21 @@
     return count;
   }
 
-  /** Requests what a plan holds for a shard, with as many calls as that takes. */
+  /** Requests the instances of a plan for a shard, in as many calls as necessary. */
   void submit(ScaleOutPlan plan, int shard) {
     for (Map.Entry<InstanceOffering, Integer> planned : plan.counts().entrySet()) {
-      for (int rest = planned.getValue(); rest > 0; rest -= MAX_INSTANCES) {
-        submit(planned.getKey(), Math.min(rest, MAX_INSTANCES), shard);
+      for (int remaining = planned.getValue(); remaining > 0; remaining -= MAX_INSTANCES) {
+        submit(planned.getKey(), Math.min(remaining, MAX_INSTANCES), shard);
       }
     }
   }
 
   private void submit(InstanceOffering offering, int count, int shard) {
     requestCount++;
-    // Names never repeat: an incarnation's number belongs to one life of one controller.
+    // Names never repeat: an incarnation number belongs to one process life of one controller.
     String name = settings.node() + "-" + membership.incarnation() + "-" + requestCount;
     ScaleOutRequest request = new ScaleOutRequest(name, offering, count, shard);
-    // Without a call left the request is dropped: the next round plans anew.
+    // If the rate limit allows no call, the request is dropped. The next round plans anew.
     if (cloud.scaleOut(request, response -> onReply(request, response))) {
       inFlight.add(request);
       LOG.info(
@@ -91,8 +91,9 @@
   private void onReply(ScaleOutRequest request, CloudCodec.ScaleOutResponse response) {
     switch (request.onReply(response)) {
       case RETRYING -> {
-        // Perhaps fulfilled: the same name brings the same instances and starts no others.
-        cloud.retryScaleOut(request, again -> onReply(request, again));
+        // The cloud may have fulfilled the request. For the same name it returns the instances that
+        // it started before, and starts no others.
+        cloud.retryScaleOut(request, retryResponse -> onReply(request, retryResponse));
         return;
       }
       case FULFILLED -> request.offering().onFulfilled();
--- a/src/main/java/gladeknot/fleet/ScaleOutRound.java
+++ b/src/main/java/gladeknot/fleet/ScaleOutRound.java
@@ -6,10 +6,13 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One round of reactive scale-out: the forecast that pending tasks are placed in, and the plan. */
+/**
+ * One round of reactive scale-out: places pending tasks in a forecast and plans the instances that
+ * they lack.
+ */
 final class ScaleOutRound {
-  /** Tasks often run longer than estimated. */
-  private static final double RUN_SAFETY_FACTOR = 1.15;
+  /** Factor applied to estimated run times, since tasks often run longer than estimated. */
+  private static final double RUN_PADDING_FACTOR = 1.15;
 
   private final Policy policy;
   private final InstanceCatalog catalog;
@@ -24,9 +27,9 @@
   private int placedTasks;
 
   /**
-   * A round without pending tasks so far.
+   * Creates a round in which no tasks are placed yet.
    *
-   * @param maxTasks how many tasks are placed at most
+   * @param maxTasks the maximum number of tasks to place
    */
   ScaleOutRound(
       Policy policy,
@@ -47,19 +50,26 @@
     this.maxTasks = maxTasks;
   }
 
-  /** The instances that the tasks placed so far lack. */
+  /** Returns the instances that the tasks placed so far lack. */
   ScaleOutPlan plan() {
     return plan;
   }
 
-  /** The shard of the last tasks that lacked an instance; no shard while the plan is empty. */
+  /**
+   * Returns the shard of the last tasks that lacked an instance; {@link Forecast#ANY_SHARD} while
+   * the plan is empty.
+   */
   int shard() {
     return shard;
   }
 
-  /** Places pending tasks, after those that would be scheduled before them. */
+  /**
+   * Places the pending tasks of one slice. Slices must be placed in the order in which they would
+   * be scheduled.
+   */
   void place(SchedulerView.PendingTasks pending) {
-    // Running tasks that can be preempted for these don't hinder them: they are admitted later.
+    // Running tasks of lower priority can be preempted for these tasks. They are admitted later, so
+    // that they don't delay these tasks in the forecast.
     forecast.admit(pending.job().spec().priority());
     new Placement(pending).run();
   }
@@ -79,7 +89,7 @@
       this.pending = pending;
       this.spec = pending.job().spec();
       this.runMicros = scheduler.estimates().runMicros(spec);
-      // A gang needs all its machines in one shard, and in one zone if its tasks stay together.
+      // A gang needs all its machines in one shard, and in one zone if its tasks are colocated.
       this.gang = spec.shape() == JobSpec.Shape.GANG && pending.count() > 1;
       this.anyZone = !gang && !spec.spread() && !spec.colocated();
       this.tasksByZone = new HashMap<>(pending.tasksByZone());
@@ -90,8 +100,8 @@
     }
 
     private String zoneForGang() {
-      long byMicros = clock.nowMicros() + policy.micros(Policy.Name.PATIENCE);
-      return forecast.zoneWithMostCapacity(spec, pending.shard(), byMicros, catalog.zones());
+      long atMicros = clock.nowMicros() + policy.micros(Policy.Name.PATIENCE);
+      return forecast.zoneWithMostCapacity(spec, pending.shard(), atMicros, catalog.zones());
     }
 
     private void run() {
@@ -102,7 +112,7 @@
         if (pending.owned()) {
           Optional<InstanceOffering> offering = offeringIfLate(machine, startMicros);
           if (offering.isPresent()) {
-            machine = plan(offering.get());
+            machine = planInstance(offering.get());
             startMicros = machine.earliestStartMicros(spec);
             forecast.add(machine);
           }
@@ -114,39 +124,45 @@
       }
     }
 
-    /** An offering that helps if the next task would start too late on a machine, or on none. */
+    /**
+     * Returns an offering that is of use if the next task would run too late on the given machine,
+     * or has no machine; otherwise empty.
+     */
     private Optional<InstanceOffering> offeringIfLate(MachineTimeline machine, long startMicros) {
       long runningMicros =
           machine == null ? Forecast.NEVER : startMicros + machine.fetchMicros(spec);
-      long latestMicros =
-          deadlines.latestStartMicros(pending.job(), safeRunMicros(), runningMicros);
-      if (runningMicros <= latestMicros) {
+      long latestStartMicros =
+          deadlines.latestStartMicros(pending.job(), paddedRunMicros(), runningMicros);
+      if (runningMicros <= latestStartMicros) {
         return Optional.empty();
       }
       return selector.select(
           new OfferingSelector.InstanceRequest(
-              spec, tasksByZone, pending.count() - placed, latestMicros, runningMicros),
+              spec, tasksByZone, pending.count() - placed, latestStartMicros, runningMicros),
           plan);
     }
 
-    private long safeRunMicros() {
-      return runMicros < Forecast.NEVER ? (long) (runMicros * RUN_SAFETY_FACTOR) : runMicros;
+    private long paddedRunMicros() {
+      return runMicros < Forecast.NEVER ? (long) (runMicros * RUN_PADDING_FACTOR) : runMicros;
     }
 
-    private MachineTimeline plan(InstanceOffering offering) {
+    private MachineTimeline planInstance(InstanceOffering offering) {
       shard = pending.shard();
       plan.add(offering);
       return MachineTimeline.ofRequested(offering, shard, clock.nowMicros());
     }
 
-    /** Places one task, or as many as start on the machine at one time if they may be together. */
+    /**
+     * Places one task. If the tasks may share any machine and zone, places as many as can start on
+     * the machine at the same time.
+     */
     private void placeOn(MachineTimeline machine, long startMicros) {
       int count = 1;
       if (anyZone) {
-        int rest = Math.min(pending.count() - placed, maxTasks - placedTasks);
-        count = (int) Math.max(1, Math.min(rest, machine.fittingTasks(spec, startMicros)));
+        int remaining = Math.min(pending.count() - placed, maxTasks - placedTasks);
+        count = (int) Math.max(1, Math.min(remaining, machine.fittingTasks(spec, startMicros)));
       }
-      // A gang's tasks run side by side: none of them waits for another's end.
+      // A gang's tasks run at the same time, so none can use resources that another one frees.
       forecast.place(machine, spec, startMicros, gang ? Forecast.NEVER : runMicros, count);
       tasksByZone.merge(machine.zone(), count, Integer::sum);
       placed += count;
--- a/src/main/java/gladeknot/fleet/SchedulerView.java
+++ b/src/main/java/gladeknot/fleet/SchedulerView.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the fleet needs to know of the scheduler. */
+/** The scheduler's state as the fleet uses it. */
 public interface SchedulerView {
   /**
-   * Pending tasks of one slice.
+   * The pending tasks of one slice.
    *
    * @param job the job that the tasks belong to
    * @param shard the shard that the slice belongs to
-   * @param count how many tasks are pending, within the team's quota
+   * @param count the number of pending tasks that the team's quota allows
    * @param owned whether this controller owns the shard
-   * @param starved whether the tasks are late for all their deadlines and newer work overtakes them
-   * @param tasksByZone how many of the job's tasks run in each zone
+   * @param starved whether the job has missed all its deadlines and newer work overtakes it
+   * @param tasksByZone the number of the job's tasks that run in each zone
    */
   record PendingTasks(
       Job job,
@@ -28,27 +28,33 @@
       boolean starved,
       Map<String, Integer> tasksByZone) {}
 
-  /** The pending tasks of all shards, in the order in which they would be scheduled. */
+  /** Returns the pending tasks of all shards, in the order in which they would be scheduled. */
   List<PendingTasks> pendingTasks();
 
-  /** How long tasks are expected to run. */
+  /** Returns the estimates of how long tasks run. */
   RuntimeEstimates estimates();
 
-  /** When an attempt is expected to end, in microseconds of the steady clock. */
+  /** Returns the expected end of an attempt, in microseconds of the steady clock. */
   long expectedEndMicros(Attempt attempt);
 
-  /** How many replicas of services run on a worker. */
+  /** Returns the number of replicas of services that run on a worker. */
   int replicas(Worker worker);
 
-  /** Active jobs that are services, by time of submission. */
+  /** Returns the active jobs that are services, ordered by time of submission. */
   List<Job> services();
 
-  /** By when a job has to end for its pipeline to be in time, in microseconds of the day's time. */
+  /**
+   * Returns the latest time at which a job may end for its own deadline and for the deadlines of
+   * the jobs that depend on it, in microseconds of the time of day.
+   */
   long latestEndMicros(Job job);
 
-  /** The priority of an attempt, with what it inherits from jobs that depend on it. */
+  /**
+   * Returns the priority of an attempt, including the priority that its job inherits from jobs that
+   * depend on it.
+   */
   JobSpec.Priority priority(Attempt attempt);
 
-  /** Whether a worker may be given new tasks now. */
+  /** Returns whether new tasks may be placed on a worker now. */
   boolean isSchedulable(Worker worker);
 }
--- a/src/main/java/gladeknot/fleet/StartDeadlines.java
+++ b/src/main/java/gladeknot/fleet/StartDeadlines.java
@@ -7,9 +7,9 @@
 import gladeknot.settings.Settings;
 import java.util.Optional;
 
-/** By when pending tasks have to start for their service-level objectives. */
+/** Computes the latest times at which pending tasks have to start to meet their objectives. */
 final class StartDeadlines {
-  /** From a task's end until its job is seen to be done. */
+  /** Delay between a task's end and the time at which its job is seen to be completed. */
   static final long COMPLETION_DELAY_MICROS = 3_000_000;
 
   private static final long UNLIMITED_MICROS = Long.MAX_VALUE / 4;
@@ -33,7 +33,7 @@
     this.clock = clock;
   }
 
-  /** The objective for how long tasks of a class wait; empty if it has none. */
+  /** Returns the objective for the waiting time of a job class; empty if it has none. */
   Optional<Settings.Objective> waitObjective(String jobClass) {
     for (Settings.Objective objective : settings.objectives()) {
       if (objective.kind() == ObjectiveKind.WAIT && jobClass.equals(objective.jobClass())) {
@@ -44,29 +44,32 @@
   }
 
   /**
-   * When a task has to run at the latest, by the steady clock, for the next of its job's objectives
-   * that can still be met; if none can, by the policy's patience.
+   * Returns the latest time, by the steady clock, at which a task has to run for the next of its
+   * job's objectives that can still be met. If none can be met, the policy's rule {@code patience}
+   * decides.
    *
-   * @param runMicros how long the task is thought to run
-   * @param otherwiseMicros when it would run without another instance, by the steady clock
+   * @param runMicros the expected run time of the task
+   * @param fallbackStartMicros when the task would run without another instance, by the steady
+   *     clock
    */
-  long latestStartMicros(Job job, long runMicros, long otherwiseMicros) {
+  long latestStartMicros(Job job, long runMicros, long fallbackStartMicros) {
     JobSpec spec = job.spec();
     if (spec.deadlineMicros() > 0) {
-      return clock.nowMicros() + deadlineSlackMicros(job, runMicros, otherwiseMicros);
+      return clock.nowMicros() + deadlineSlackMicros(job, runMicros, fallbackStartMicros);
     }
     if (spec.shape() == JobSpec.Shape.SERVICE) {
       return clock.nowMicros() + policy.micros(Policy.Name.REPLICA_WAIT);
     }
     return clock.nowMicros()
-        + Math.min(waitSlackMicros(job), pipelineSlackMicros(job, runMicros, otherwiseMicros));
+        + Math.min(
+            waitSlackMicros(job), dependentsSlackMicros(job, runMicros, fallbackStartMicros));
   }
 
-  /** How long a task may wait for the first multiple of its deadline that can still be met. */
-  private long deadlineSlackMicros(Job job, long runMicros, long otherwiseMicros) {
+  /** Returns how long a task may wait for the first multiple of its deadline that can be met. */
+  private long deadlineSlackMicros(Job job, long runMicros, long fallbackStartMicros) {
     JobSpec spec = job.spec();
     long ageMicros = Math.max(0, clock.wallMicros() - job.submittedMicros());
-    long soonestMicros = catalog.soonestStartMicros(spec);
+    long minStartDelayMicros = catalog.minStartDelayMicros(spec);
     for (Settings.Objective objective : settings.objectives()) {
       if (objective.kind() == ObjectiveKind.DEADLINE
           && spec.jobClass().equals(objective.jobClass())) {
@@ -75,16 +78,21 @@
                 - ageMicros
                 - runMicros
                 - COMPLETION_DELAY_MICROS;
-        if (slackMicros >= soonestMicros || clock.nowMicros() + slackMicros >= otherwiseMicros) {
-          double urgency = slackMicros > 0 ? policy.number(Policy.Name.HASTE) : 1;
-          return Math.max((long) (slackMicros * urgency), Math.min(slackMicros, soonestMicros));
+        if (slackMicros >= minStartDelayMicros
+            || clock.nowMicros() + slackMicros >= fallbackStartMicros) {
+          double slackFactor = slackMicros > 0 ? policy.number(Policy.Name.HASTE) : 1;
+          return Math.max(
+              (long) (slackMicros * slackFactor), Math.min(slackMicros, minStartDelayMicros));
         }
       }
     }
     return policy.micros(Policy.Name.PATIENCE);
   }
 
-  /** How long a job's tasks may still wait by its class's objective, or by the policy. */
+  /**
+   * Returns how long a job's tasks may still wait by the objective of its class. Without an
+   * objective, the policy's rule {@code patience} decides.
+   */
   private long waitSlackMicros(Job job) {
     Optional<Settings.Objective> objective = waitObjective(job.spec().jobClass());
     if (objective.isEmpty()) {
@@ -94,15 +102,19 @@
     return Math.max(0, objective.get().withinMicros() - waitedMicros);
   }
 
-  /** How long a job's tasks may still wait for its pipeline to be in time, if it can be. */
-  private long pipelineSlackMicros(Job job, long runMicros, long otherwiseMicros) {
+  /**
+   * Returns how long a job's tasks may still wait for the job and those that depend on it to meet
+   * their deadlines; {@link #UNLIMITED_MICROS} if the deadlines can't be met.
+   */
+  private long dependentsSlackMicros(Job job, long runMicros, long fallbackStartMicros) {
     long slackMicros = scheduler.latestEndMicros(job) - clock.wallMicros() - runMicros;
-    long soonestMicros = catalog.soonestStartMicros(job.spec());
-    boolean late = slackMicros < soonestMicros && clock.nowMicros() + slackMicros < otherwiseMicros;
-    if (slackMicros < 0 || late) {
+    long minStartDelayMicros = catalog.minStartDelayMicros(job.spec());
+    boolean tooLate =
+        slackMicros < minStartDelayMicros && clock.nowMicros() + slackMicros < fallbackStartMicros;
+    if (slackMicros < 0 || tooLate) {
       return UNLIMITED_MICROS;
     }
-    long unhurriedMicros = (long) (slackMicros * policy.number(Policy.Name.HASTE));
-    return Math.max(unhurriedMicros, Math.min(slackMicros, soonestMicros));
+    long scaledSlackMicros = (long) (slackMicros * policy.number(Policy.Name.HASTE));
+    return Math.max(scaledSlackMicros, Math.min(slackMicros, minStartDelayMicros));
   }
 }
--- a/src/main/java/gladeknot/fleet/StartTimeQueue.java
+++ b/src/main/java/gladeknot/fleet/StartTimeQueue.java
@@ -5,20 +5,20 @@
 import java.util.PriorityQueue;
 
 /**
- * Machines in the order in which a task of certain requirements could start on them. Placing tasks
- * only makes a machine's start later, so it is evaluated again only when it comes to the front:
- * evaluating every machine for every pending task took most of a large fleet's forecasts, and so
- * did a queue of all machines for every image.
+ * Machines ordered by the time at which a task of certain requirements could start on them. Placing
+ * a task can only delay the start times of its machine, so a machine is evaluated again only when
+ * it reaches the front. Evaluating every machine for every pending task took most of the time of a
+ * large fleet's forecasts, and so did a queue of all machines for every image.
  */
 final class StartTimeQueue {
   /**
-   * What decides on which machines a task may start and when; many jobs share it. A queue is for
-   * one zone and, for gangs, for one shard; either for the machines of one type or for those that
-   * have an image.
+   * The properties that decide on which machines a task may start and when. Many jobs share them. A
+   * queue holds the machines of one zone and, for gangs, of one shard. It holds either the machines
+   * of one type or those that have an image in their cache.
    *
    * @param shard the shard, or {@link Forecast#ANY_SHARD}
    * @param type the machine type; null for a queue by image
-   * @param image the image; null for a queue by type
+   * @param image the cached image; null for a queue by type
    */
   record Key(
       long cpus,
@@ -31,13 +31,18 @@
       String type,
       String image) {}
 
-  /** When a machine could start a task, as of a version of the machine's timeline. */
-  record Candidate(long startMicros, int order, MachineTimeline machine, int version) {}
+  /**
+   * The time at which a machine could start a task.
+   *
+   * @param machineIndex the machine's index in the forecast, by which equal start times are ordered
+   * @param version the version of the machine's timeline for which the time was computed
+   */
+  record Candidate(long startMicros, int machineIndex, MachineTimeline machine, int version) {}
 
   private final JobSpec spec;
   private final Key key;
 
-  /** All machines of the forecast, which adds to them. */
+  /** All machines of the forecast. The forecast adds machines while the queue is in use. */
   private final List<MachineTimeline> machines;
 
   private final PriorityQueue<Candidate> candidates =
@@ -45,10 +50,13 @@
           (a, b) ->
               a.startMicros != b.startMicros
                   ? Long.compare(a.startMicros, b.startMicros)
-                  : Integer.compare(a.order, b.order));
+                  : Integer.compare(a.machineIndex, b.machineIndex));
 
-  /** The machines before this one can't start a task at once, and won't while tasks are placed. */
-  private int firstImmediate;
+  /**
+   * Index of the first machine that may start a task at once. The machines before it can't, and
+   * placing further tasks doesn't change that.
+   */
+  private int firstImmediateIndex;
 
   private long evaluations;
 
@@ -65,7 +73,7 @@
     return key.zone();
   }
 
-  /** How many times a machine was evaluated. */
+  /** Returns how many times a machine was evaluated. */
   long evaluations() {
     return evaluations;
   }
@@ -77,40 +85,47 @@
         && (key.image() == null || machine.hasImage(key.image()));
   }
 
-  /** Adds a machine of the forecast, by its place among all, if it belongs here. */
-  void add(MachineTimeline machine, int order) {
+  /**
+   * Adds a machine of the forecast if it matches this queue's key.
+   *
+   * @param machineIndex the machine's index in the forecast
+   */
+  void add(MachineTimeline machine, int machineIndex) {
     if (includes(machine)) {
-      evaluate(machine, order);
+      evaluate(machine, machineIndex);
     }
   }
 
-  private void evaluate(MachineTimeline machine, int order) {
+  private void evaluate(MachineTimeline machine, int machineIndex) {
     evaluations++;
     long startMicros = machine.earliestStartMicros(spec);
     if (startMicros < Forecast.NEVER) {
-      candidates.add(new Candidate(startMicros, order, machine, machine.version()));
+      candidates.add(new Candidate(startMicros, machineIndex, machine, machine.version()));
     }
   }
 
   /**
-   * The place of the first machine that could start a task at once, or once it is up; the number of
-   * all machines if none could.
+   * Returns the index of the first machine that could start a task at once or as soon as the
+   * machine is up; the number of all machines if there is none.
    */
-  int firstImmediate() {
-    while (firstImmediate < machines.size()) {
-      MachineTimeline machine = machines.get(firstImmediate);
+  int firstImmediateIndex() {
+    while (firstImmediateIndex < machines.size()) {
+      MachineTimeline machine = machines.get(firstImmediateIndex);
       if (includes(machine)) {
         evaluations++;
         if (machine.earliestStartMicros(spec) <= machine.fromMicros()) {
           break;
         }
       }
-      firstImmediate++;
+      firstImmediateIndex++;
     }
-    return firstImmediate;
+    return firstImmediateIndex;
   }
 
-  /** The machine that could start a task first; null if none could (a hot loop). */
+  /**
+   * Returns the machine that could start a task first. Called in a hot loop, so it returns null
+   * rather than an empty optional if no machine could.
+   */
   Candidate earliest() {
     while (!candidates.isEmpty()) {
       Candidate first = candidates.peek();
@@ -118,7 +133,7 @@
         return first;
       }
       candidates.poll();
-      evaluate(first.machine(), first.order());
+      evaluate(first.machine(), first.machineIndex());
     }
     return null;
   }
--- a/src/main/java/gladeknot/fleet/UnregisteredInstances.java
+++ b/src/main/java/gladeknot/fleet/UnregisteredInstances.java
@@ -13,17 +13,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds instances that run and are not registered, by their heartbeats and by the cloud's list, and
- * registers them: each instance is used or released. The list also shows failed instances.
+ * Finds running instances that are not registered, by their heartbeats and by the cloud's list, and
+ * registers them, so that every instance is either used or released. Also releases workers whose
+ * instances the list shows as failed.
  */
 final class UnregisteredInstances {
   private static final Logger LOG = LoggerFactory.getLogger(UnregisteredInstances.class);
   private static final long LIST_INTERVAL_MICROS = 20_000_000;
 
-  /** An instance first seen this many intervals ago is forgotten; if it still runs it is new. */
+  /**
+   * Number of list intervals after which the time when an instance was first listed is dropped. If
+   * the instance still runs, it then counts as new.
+   */
   private static final int RETAINED_INTERVALS = 6;
 
-  /** How many times the list's lag an instance has to be unregistered before it is registered. */
+  /**
+   * Multiple of the list's lag for which an instance has to stay unregistered before it is
+   * registered.
+   */
   private static final int LAG_FACTOR = 4;
 
   private final Settings settings;
@@ -34,8 +41,8 @@
   private final WorkerRegistration registration;
   private final ScaleIn scaleIn;
 
-  /** When the list first showed an instance that was not registered, by the steady clock. */
-  private final Map<String, Long> firstSeenMicros = new HashMap<>();
+  /** Times at which the list first showed each unregistered instance, by the steady clock. */
+  private final Map<String, Long> firstListedMicrosByHost = new HashMap<>();
 
   private boolean listing;
   private long nextListMicros;
@@ -57,7 +64,7 @@
     this.scaleIn = scaleIn;
   }
 
-  /** Registers a machine that sends heartbeats and is not registered. */
+  /** Registers a machine that sends heartbeats but is not registered. */
   void onHeartbeat(Heartbeat heartbeat) {
     String host = heartbeat.host();
     int shard = membership.homeShard();
@@ -68,7 +75,7 @@
     }
   }
 
-  /** Starts to read the cloud's list when that is due. */
+  /** Starts to read the cloud's list when its interval has passed. */
   void step() {
     if (!listing && clock.nowMicros() >= nextListMicros && membership.mayAct()) {
       nextListMicros = clock.nowMicros() + LIST_INTERVAL_MICROS;
@@ -85,18 +92,20 @@
     if (page.isEmpty()) {
       return;
     }
-    String last = afterHost;
+    String lastHost = afterHost;
     for (CloudCodec.ListedInstance instance : page.get().instances()) {
-      last = instance.host();
+      lastHost = instance.host();
       onListed(instance);
     }
     if (page.get().more()) {
-      listAfter(last);
+      listAfter(lastHost);
     } else {
       long nowMicros = clock.nowMicros();
-      firstSeenMicros
+      firstListedMicrosByHost
           .values()
-          .removeIf(seen -> nowMicros - seen > RETAINED_INTERVALS * LIST_INTERVAL_MICROS);
+          .removeIf(
+              firstListedMicros ->
+                  nowMicros - firstListedMicros > RETAINED_INTERVALS * LIST_INTERVAL_MICROS);
     }
   }
 
@@ -110,7 +119,7 @@
   }
 
   private void onListedWorker(Worker worker, CloudCodec.ListedInstance instance) {
-    firstSeenMicros.remove(worker.host());
+    firstListedMicrosByHost.remove(worker.host());
     worker.setListedEndpoint(instance.endpoint());
     if (instance.failed()
         && !worker.releasing()
@@ -122,13 +131,14 @@
   private void onListedUnregistered(CloudCodec.ListedInstance instance) {
     String host = instance.host();
     long nowMicros = clock.nowMicros();
-    // Lists lag: an instance just started or just released looks the same as an orphan for a while.
-    long seenMicros = firstSeenMicros.computeIfAbsent(host, unseen -> nowMicros);
-    long patienceMicros =
+    // The list lags: for a while, an instance that was just started or just released can't be told
+    // from an unregistered one.
+    long firstListedMicros = firstListedMicrosByHost.computeIfAbsent(host, newHost -> nowMicros);
+    long minUnregisteredMicros =
         LAG_FACTOR * settings.cloudLimits().listLagMicros() + LIST_INTERVAL_MICROS;
     int shard = membership.homeShard();
-    // The hash lets one controller register it.
-    if (nowMicros - seenMicros > patienceMicros
+    // The hash of the host selects one home shard, so that only one controller registers it.
+    if (nowMicros - firstListedMicros > minUnregisteredMicros
         && Math.floorMod(host.hashCode(), membership.shardCount()) == shard
         && membership.permits(ControlAction.SCALE_OUT, shard)) {
       LOG.info("unregistered instance registered host={} shard={} seen=list", host, shard);
--- a/src/main/java/gladeknot/fleet/WorkerHealth.java
+++ b/src/main/java/gladeknot/fleet/WorkerHealth.java
@@ -3,19 +3,19 @@
 import gladeknot.settings.Settings;
 import gladeknot.workers.Worker;
 
-/** From when on a worker isn't counted on, or is given up. */
+/** Decides when a worker is no longer counted on and when it is considered lost. */
 final class WorkerHealth {
-  /** Failures in a row after which a worker gets no new tasks and is released. */
+  /** Number of consecutive failures after which a worker gets no new tasks and is released. */
   static final int MAX_CONSECUTIVE_FAILURES = 4;
 
-  /** A worker whose last heartbeat is older is not counted on. */
+  /** Age of the last heartbeat beyond which a worker is not counted on, in microseconds. */
   static final long HEARTBEAT_TIMEOUT_MICROS = 8_000_000;
 
   private static final long MIN_RETURN_GRACE_MICROS = 10_000_000;
   private static final int RETURN_GRACE_HEARTBEATS = 4;
 
-  /** A worker without heartbeats for so many leases is given up. */
-  private static final int LOSS_LEASES = 3;
+  /** Number of leases without a heartbeat after which a worker is considered lost. */
+  private static final int LOSS_TIMEOUT_LEASES = 3;
 
   private final Settings settings;
 
@@ -24,22 +24,29 @@
   }
 
   /**
-   * How long after a restart of its controller a worker may take to return. It does so only once
-   * others have ceased to answer it, a lease and some heartbeats later: with a shorter time healthy
-   * workers were released with their tasks, and others requested in their place.
+   * Returns the grace period, in microseconds, in which a worker may return after a restart of its
+   * controller. A worker returns only once the other controllers have ceased to answer it, which
+   * takes a lease and some heartbeats. With a shorter period, healthy workers were released with
+   * their tasks, and other instances were requested in their place.
    */
   long returnGraceMicros() {
-    Settings.Workers limits = settings.workers();
-    long grace = limits.leaseMicros() + RETURN_GRACE_HEARTBEATS * limits.heartbeatMicros();
-    return Math.max(grace, MIN_RETURN_GRACE_MICROS);
+    Settings.Workers workerSettings = settings.workers();
+    long graceMicros =
+        workerSettings.leaseMicros() + RETURN_GRACE_HEARTBEATS * workerSettings.heartbeatMicros();
+    return Math.max(graceMicros, MIN_RETURN_GRACE_MICROS);
   }
 
-  /** How long a worker may send no heartbeats before it is given up. */
+  /**
+   * Returns the time without heartbeats after which a worker is considered lost, in microseconds.
+   */
   long lossTimeoutMicros() {
-    return settings.workers().leaseMicros() * LOSS_LEASES;
+    return settings.workers().leaseMicros() * LOSS_TIMEOUT_LEASES;
   }
 
-  /** Whether a worker that has sent heartbeats has missed too many of them to be counted on. */
+  /**
+   * Returns whether the last heartbeat of a worker is too old for the worker to be counted on. The
+   * worker must have sent a heartbeat.
+   */
   static boolean timedOut(Worker worker, long nowMicros) {
     return nowMicros - worker.heartbeatMicros() > HEARTBEAT_TIMEOUT_MICROS;
   }
--- a/src/main/java/gladeknot/fleet/WorkerRecords.java
+++ b/src/main/java/gladeknot/fleet/WorkerRecords.java
@@ -8,8 +8,8 @@
 import gladeknot.workers.WorkerRecordCodec;
 
 /**
- * Writes the stored records of workers. Each write is conditional on the record as the followed
- * copy has it, and on the ownership of a shard.
+ * Writes the stored records of workers. The preconditions of each write are the record as the watch
+ * cache has it, and the ownership of a shard.
  */
 final class WorkerRecords {
   private final TransactionCommitter committer;
@@ -18,23 +18,28 @@
     this.committer = committer;
   }
 
-  /** Registers a machine; {@code ownedShard} is the writer's, the record may name another. */
+  /**
+   * Registers a machine.
+   *
+   * @param ownedShard the shard whose ownership the write depends on; the record may name another
+   *     shard
+   */
   void create(String host, int ownedShard, WorkerRecord record, MutationCallback callback) {
     write(host, ownedShard, null, WorkerRecordCodec.encode(record), callback);
   }
 
-  /** Moves a worker to another shard. */
+  /** Transfers a worker to another shard. */
   void transfer(Worker worker, int toShard, MutationCallback callback) {
     write(worker.host(), worker.shard(), worker.record(), worker.record(toShard, false), callback);
   }
 
-  /** Marks a worker whose instance is to be released. */
+  /** Marks a worker as terminating: its instance is to be released. */
   void markTerminating(Worker worker, MutationCallback callback) {
     int shard = worker.shard();
     write(worker.host(), shard, worker.record(), worker.record(shard, true), callback);
   }
 
-  /** Marks a worker whose instance was released by a shard's owner. */
+  /** Marks a worker as released, as the owner of {@code ownedShard}. */
   void markReleased(Worker worker, int ownedShard) {
     write(worker.host(), ownedShard, worker.record(), WorkerRecordCodec.RELEASED, committed -> {});
   }
--- a/src/main/java/gladeknot/fleet/WorkerRegistration.java
+++ b/src/main/java/gladeknot/fleet/WorkerRegistration.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Registers machines as workers, and decides on the shard of each. */
+/** Registers machines as workers and decides to which shard each machine belongs. */
 final class WorkerRegistration {
   private final Membership membership;
   private final WorkerRegistry workers;
@@ -19,7 +19,7 @@
   private final InstanceCatalog catalog;
   private final FleetClock clock;
 
-  /** Hosts whose record is being written. */
+  /** Hosts whose records are being written. */
   private final Set<String> registering = new HashSet<>();
 
   WorkerRegistration(
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Registers what a scale-out request started: machines with GPUs for the shard that requested
-   * them, others for the shards that have the fewest CPUs.
+   * Registers the instances that a scale-out request started. Machines with GPUs go to the shard
+   * that requested them, other machines to the shards that have the fewest CPUs.
    */
   void registerInstances(ScaleOutRequest request, List<String> hosts) {
     InstanceOffering offering = request.offering();
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Registers a machine that no scale-out request accounts for, for an owned shard. */
+  /** Registers a machine that no scale-out request accounts for, in an owned shard. */
   void registerUnknown(String host, int shard, String type, String zone, boolean spot) {
     register(host, shard, new WorkerRecord(shard, type, zone, spot, clock.wallMicros(), false));
   }
@@ -75,7 +75,7 @@
         });
   }
 
-  /** The CPUs, in thousandths, of each shard's registered machines without GPUs. */
+  /** Returns the CPUs, in thousandths, of each shard's registered machines without GPUs. */
   private long[] cpusByShard() {
     long[] cpus = new long[membership.shardCount()];
     for (Worker worker : workers.all()) {
@@ -88,8 +88,9 @@
   }
 
   /**
-   * The shard with the fewest CPUs, of those with a live owner. Tasks are split evenly over shards,
-   * so machines are too, whoever requested them: what is uneven has to be claimed, task by task.
+   * Returns the shard with the fewest CPUs among the home shard and the shards with a live owner.
+   * Tasks are split evenly over the shards, so machines are too, whichever shard requested them. An
+   * imbalance would have to be evened out by claims, task by task.
    */
   private int shardWithFewestCpus(long[] cpusByShard) {
     int fewest = membership.homeShard();
--- a/src/main/java/gladeknot/fleet/package-info.java
+++ b/src/main/java/gladeknot/fleet/package-info.java
@@ -1,14 +1,15 @@
 /**
  * Sizes the fleet: requests instances from the cloud for tasks that would start too late, keeps
- * capacity for the load that is to be expected, registers new machines with shards, moves idle
- * machines between shards, and releases what is idle or broken.
+ * capacity for the expected load, registers new machines with shards, transfers idle machines
+ * between shards, and releases idle or broken machines.
  *
- * <p>State it owns, all in memory: the instance catalogue, scale-out requests in flight, arrivals
- * of late, unregistered instances, and releases that wait for a call. Which machines are registered
- * is stored by the records that {@link gladeknot.fleet.WorkerRecords} writes.
+ * <p>The package owns this state, all in memory: the instance catalogue, scale-out requests in
+ * flight, recent job arrivals, unregistered instances, and releases that wait for a call to the
+ * cloud. The set of registered machines is stored in the records that {@link
+ * gladeknot.fleet.WorkerRecords} writes.
  *
- * <p>It may use lifecycle, commit, workers and what is beneath them. What it needs of the scheduler
- * stands in {@link gladeknot.fleet.SchedulerView}. The cloud's words appear in {@code CloudCodec}
- * alone.
+ * <p>The package may depend on lifecycle, commit, workers and the packages below them. {@link
+ * gladeknot.fleet.SchedulerView} declares everything that it needs from the scheduler. Only {@code
+ * CloudCodec} uses the field names of the cloud's API.
  */
 package gladeknot.fleet;
