--- a/src/test/java/gladeknot/fleet/CapacityTest.java
+++ b/src/test/java/gladeknot/fleet/CapacityTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** How expected tasks are packed, and that packing a task costs no more as the fleet grows. */
+/** Tests how expected tasks are packed, and that the cost per task doesn't grow with the fleet. */
 class CapacityTest {
   private static final MachineType TYPE =
       new MachineType("small", 4000, 0, 16_000, 40, 0.5, 0.2, 0.1, 10_000_000, List.of("a", "b"));
@@ -22,7 +22,7 @@
     return JobSpecCodec.decode(TestJobs.job("req-1", shape, tasks));
   }
 
-  private static Capacity of(int machines) {
+  private static Capacity capacityOf(int machines) {
     Capacity capacity = new Capacity();
     for (int i = 0; i < machines; i++) {
       String zone = i % 3 == 0 ? "b" : "a";
@@ -33,19 +33,19 @@
   }
 
   @Test
-  void replicasGoHalfToEachZoneAndOneByOneIntoTheFirstMachines() throws MalformedJobException {
-    Capacity capacity = of(4);
+  void replicasAreSplitEvenlyOverZonesAndFillFirstMachines() throws MalformedJobException {
+    Capacity capacity = capacityOf(4);
     Map<String, Integer> tasksByZone = new HashMap<>();
     assertEquals(6, capacity.place(spec("service", 6), 6, tasksByZone));
     assertEquals(Map.of("a", 3, "b", 3), tasksByZone);
-    // The first machine of each zone has enough capacity: zone a's are the second and third.
+    // The first machine of each zone holds its replicas. Zone a's machines are second and third.
     assertEquals(
         List.of(true, true, false, false), capacity.bins().stream().map(MachineBin::used).toList());
     assertEquals(10, capacity.place(spec("array", 20), 20, new HashMap<>()));
   }
 
   @Test
-  void machinesThatReplicasKeepAreNeededBeforeOthers() throws MalformedJobException {
+  void machinesWithReplicasAreFilledFirst() throws MalformedJobException {
     Capacity capacity = new Capacity();
     capacity.add(MachineBin.ofWorker("vm-000001", TYPE, "a", false, 0));
     capacity.add(MachineBin.ofWorker("vm-000002", TYPE, "a", false, 1));
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void evaluationsPerTaskDoNotGrowWithTheFleet() throws MalformedJobException {
+  void evaluationsPerTaskDoNotGrowWithFleetSize() throws MalformedJobException {
     double small = evaluationsPerTask(100);
     double large = evaluationsPerTask(1000);
     assertTrue(large <= small * 1.1, small + " then " + large);
@@ -66,21 +66,22 @@
   }
 
   private static double evaluationsPerTask(int machines) throws MalformedJobException {
-    Capacity capacity = of(machines);
+    Capacity capacity = capacityOf(machines);
     Forecast forecast = new Forecast();
     for (MachineBin bin : capacity.bins()) {
       forecast.add(new MachineTimeline(TYPE, bin.zone(), false, 0, 0, List.of()));
     }
-    JobSpec web = spec("service", 4);
+    JobSpec serviceSpec = spec("service", 4);
     int tasks = machines * 2;
     for (int i = 0; i < tasks; i += 4) {
       Map<String, Integer> tasksByZone = new HashMap<>();
-      capacity.place(web, 4, tasksByZone);
-      Map<String, Integer> inForecast = new HashMap<>();
+      capacity.place(serviceSpec, 4, tasksByZone);
+      Map<String, Integer> forecastTasksByZone = new HashMap<>();
       for (int task = 0; task < 4; task++) {
-        MachineTimeline machine = forecast.search(web, Forecast.ANY_SHARD).earliest(inForecast);
-        forecast.place(machine, web, Forecast.NEVER);
-        inForecast.merge(machine.zone(), 1, Integer::sum);
+        MachineTimeline machine =
+            forecast.search(serviceSpec, Forecast.ANY_SHARD).earliest(forecastTasksByZone);
+        forecast.place(machine, serviceSpec, Forecast.NEVER);
+        forecastTasksByZone.merge(machine.zone(), 1, Integer::sum);
       }
     }
     return (capacity.evaluations() + forecast.evaluations()) / (double) tasks / 2;
--- a/src/test/java/gladeknot/fleet/CloudCodecTest.java
+++ b/src/test/java/gladeknot/fleet/CloudCodecTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The cloud's words, letter by letter. */
+/** Checks the exact paths, field names and units of the cloud's API. */
 class CloudCodecTest {
   private static final MachineType TYPE =
       new MachineType("small", 4000, 500, 16_000, 40, 0.5, 0.2, 0.1, 10_000_000, List.of("a", "b"));
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void scaleOutRequestsAreWrittenInTheCloudsWords() {
+  void scaleOutRequestUsesCloudFieldNames() {
     InstanceOffering offering = new InstanceOffering(TYPE, "a", true);
     ScaleOutRequest request = new ScaleOutRequest("node-0-7-1", offering, 3, 2);
     assertEquals(
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void releasesAreWrittenInTheCloudsWords() {
+  void releaseRequestUsesCloudFieldNames() {
     assertEquals(
         "{\"hosts\":[\"vm-000001\",\"vm-000002\"]}",
         new String(
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void pagesFollowOneAnotherByHost() {
+  void instancePagePathContinuesAfterHost() {
     assertEquals("/rentals?most=500", CloudCodec.instancePagePath(""));
     assertEquals("/rentals?from=vm-000012&most=500", CloudCodec.instancePagePath("vm-000012"));
   }
@@ -59,7 +59,7 @@
         "503; no JSON; true; false; true",
         "0; {}; false; false; false"
       })
-  void answersToScaleOutRequests(
+  void scaleOutResponseIsClassifiedByStatusAndError(
       int status, String body, boolean answered, boolean fulfilled, boolean outOfCapacity) {
     CloudCodec.ScaleOutResponse response = CloudCodec.scaleOutResponse(reply(status, body));
     assertEquals(answered, response.answered());
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void listedInstancesAreRead() {
+  void instancePageIsDecoded() {
     CloudCodec.InstancePage page =
         CloudCodec.instancePage(
             reply(
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void machineTypesAreReadInThousandths() {
+  void machineTypesAreDecodedInThousandths() {
     String listed =
         "{\"hosttypes\":[{\"label\":\"small\",\"cores\":4.0,\"accelerators\":0.5,"
             + "\"memoryGb\":16,\"cacheGb\":40,\"fetchGbPerS\":0.5,\"rate\":0.2,"
--- a/src/test/java/gladeknot/fleet/ForecastTest.java
+++ b/src/test/java/gladeknot/fleet/ForecastTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void tasksQueueForTheRoomThatRunningOnesLeave() throws MalformedJobException {
+  void tasksStartWhenRunningTasksFreeResources() throws MalformedJobException {
     Forecast forecast = new Forecast();
     JobSpec spec = spec("array");
     MachineTimeline machine = new MachineTimeline(TYPE, "a", true, 0, 0, List.of("img"));
@@ -29,53 +29,53 @@
     forecast.addRunning(
         new Forecast.RunningTask(JobSpec.Priority.NORMAL, machine, 0, 5_000_000, 1000, 0, 1000));
     forecast.admit(JobSpec.Priority.NORMAL);
-    long[] expected = {0, 5_000_000, 6_000_000, 11_000_000};
-    for (long at : expected) {
+    long[] expectedRunningMicros = {0, 5_000_000, 6_000_000, 11_000_000};
+    for (long runningMicros : expectedRunningMicros) {
       assertEquals(
-          at,
+          runningMicros,
           forecast.place(
               forecast.search(spec, Forecast.ANY_SHARD).earliest(Map.of()), spec, 6_000_000));
     }
   }
 
   @Test
-  void tasksThatStartTogetherAreAsGoodAsOneByOne() throws MalformedJobException {
+  void placingTasksTogetherEqualsPlacingThemOneByOne() throws MalformedJobException {
     JobSpec spec = spec("array");
-    long[] ends = new long[2];
-    for (int way = 0; way < 2; way++) {
+    long[] endMicros = new long[2];
+    for (int variant = 0; variant < 2; variant++) {
       Forecast forecast = new Forecast();
       MachineTimeline machine = new MachineTimeline(TYPE, "a", true, 0, 0, List.of("img"));
       forecast.add(machine);
       assertEquals(2, machine.fittingTasks(spec, 0));
-      for (int i = 0; i < 2; i += way == 0 ? 1 : 2) {
-        forecast.place(machine, spec, 0, 6_000_000, way == 0 ? 1 : 2);
+      for (int i = 0; i < 2; i += variant == 0 ? 1 : 2) {
+        forecast.place(machine, spec, 0, 6_000_000, variant == 0 ? 1 : 2);
       }
       assertEquals(0, machine.fittingTasks(spec, 0));
-      ends[way] = machine.earliestStartMicros(spec);
+      endMicros[variant] = machine.earliestStartMicros(spec);
     }
-    assertEquals(6_000_000, ends[0]);
-    assertEquals(ends[0], ends[1]);
+    assertEquals(6_000_000, endMicros[0]);
+    assertEquals(endMicros[0], endMicros[1]);
   }
 
   @Test
-  void whatMayBeStoppedIsNoHindrance() throws MalformedJobException {
+  void preemptibleTasksDoNotDelayPendingTasks() throws MalformedJobException {
     Forecast forecast = new Forecast();
-    JobSpec web = spec("service");
+    JobSpec serviceSpec = spec("service");
     MachineTimeline machine = new MachineTimeline(TYPE, "a", false, 0, 0, List.of("img"));
     forecast.add(machine);
     forecast.addRunning(
         new Forecast.RunningTask(JobSpec.Priority.NORMAL, machine, 0, 50_000_000, 2000, 0, 2000));
     forecast.admit(JobSpec.Priority.PROD);
-    assertEquals(0, machine.earliestStartMicros(web));
+    assertEquals(0, machine.earliestStartMicros(serviceSpec));
     forecast.admit(JobSpec.Priority.NORMAL);
-    assertEquals(50_000_000, machine.earliestStartMicros(web));
+    assertEquals(50_000_000, machine.earliestStartMicros(serviceSpec));
   }
 
   @Test
   void spreadReplicasNeedAnotherZone() throws MalformedJobException {
     Forecast forecast = new Forecast();
     forecast.add(new MachineTimeline(TYPE, "a", false, 0, 0, List.of()));
-    // Four replicas: two to a zone at most.
+    // Two of the four replicas are in zone a, which is the maximum per zone.
     assertNull(forecast.search(spec("service"), Forecast.ANY_SHARD).earliest(Map.of("a", 2)));
   }
 }
--- a/src/test/java/gladeknot/fleet/InstanceCatalogTest.java
+++ b/src/test/java/gladeknot/fleet/InstanceCatalogTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which offerings there are, and how long one is left alone after a refusal. */
+/** Tests the catalogue's offerings and their backoff after refusals and outages. */
 class InstanceCatalogTest {
-  private static final long NOW = 1_000_000;
+  private static final long NOW_MICROS = 1_000_000;
 
   private static MachineType type(String name, double price, String... zones) {
     return new MachineType(name, 4000, 0, 16_000, 40, 0.5, price, 0.1, 10_000_000, List.of(zones));
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void offeringsFollowTheCloudsListSpotFirst() {
+  void offeringsKeepListOrderWithSpotFirst() {
     InstanceCatalog catalog = catalog();
     assertEquals(
         List.of(
@@ -40,49 +40,49 @@
   }
 
   @Test
-  void isUnknownUntilTheCloudHasListedTypes() {
+  void isUnknownUntilTypesAreListed() {
     InstanceCatalog catalog = new InstanceCatalog();
     assertFalse(catalog.isKnown());
-    assertFalse(catalog.anyAvailable(NOW));
+    assertFalse(catalog.anyAvailable(NOW_MICROS));
     catalog.update(List.of(type("small", 0.2, "a")));
     assertTrue(catalog.isKnown());
-    assertTrue(catalog.anyAvailable(NOW));
+    assertTrue(catalog.anyAvailable(NOW_MICROS));
   }
 
   @Test
-  void backOffOutlivesANewListWhilePricesAreReplaced() {
+  void backoffSurvivesNewListAndPricesAreUpdated() {
     InstanceCatalog catalog = catalog();
     InstanceOffering refused = List.copyOf(catalog.offerings()).get(1);
-    refused.onRefused(NOW);
+    refused.onRefused(NOW_MICROS);
     catalog.update(List.of(type("small", 0.3, "b")));
     InstanceOffering listed = List.copyOf(catalog.offerings()).get(1);
     assertEquals(0.3, listed.price());
-    assertFalse(listed.isAvailable(NOW + 9_999_999));
-    assertTrue(listed.isAvailable(NOW + 10_000_000));
+    assertFalse(listed.isAvailable(NOW_MICROS + 9_999_999));
+    assertTrue(listed.isAvailable(NOW_MICROS + 10_000_000));
   }
 
   @Test
-  void backOffDoublesOnceAndEndsWhenARequestIsFulfilled() {
+  void backoffDoublesOnceAndEndsWhenRequestIsFulfilled() {
     InstanceOffering offering = new InstanceOffering(type("small", 0.2, "a"), "a", false);
-    offering.onRefused(NOW);
-    assertTrue(offering.isAvailable(NOW + 10_000_000));
+    offering.onRefused(NOW_MICROS);
+    assertTrue(offering.isAvailable(NOW_MICROS + 10_000_000));
     for (int i = 0; i < 3; i++) {
-      offering.onRefused(NOW);
-      assertFalse(offering.isAvailable(NOW + 19_999_999));
-      assertTrue(offering.isAvailable(NOW + 20_000_000));
+      offering.onRefused(NOW_MICROS);
+      assertFalse(offering.isAvailable(NOW_MICROS + 19_999_999));
+      assertTrue(offering.isAvailable(NOW_MICROS + 20_000_000));
     }
     offering.onFulfilled();
-    assertTrue(offering.isAvailable(NOW));
+    assertTrue(offering.isAvailable(NOW_MICROS));
   }
 
   @Test
-  void backOffAfterAnOutageIsShortAndCountsAsOneRefusal() {
+  void backoffAfterOutageIsShortAndCountsAsOneRefusal() {
     InstanceOffering offering = new InstanceOffering(type("small", 0.2, "a"), "a", false);
-    offering.onOutage(NOW);
-    assertFalse(offering.isAvailable(NOW + 2_999_999));
-    assertTrue(offering.isAvailable(NOW + 3_000_000));
-    offering.onRefused(NOW);
-    assertFalse(offering.isAvailable(NOW + 19_999_999));
-    assertTrue(offering.isAvailable(NOW + 20_000_000));
+    offering.onOutage(NOW_MICROS);
+    assertFalse(offering.isAvailable(NOW_MICROS + 2_999_999));
+    assertTrue(offering.isAvailable(NOW_MICROS + 3_000_000));
+    offering.onRefused(NOW_MICROS);
+    assertFalse(offering.isAvailable(NOW_MICROS + 19_999_999));
+    assertTrue(offering.isAvailable(NOW_MICROS + 20_000_000));
   }
 }
--- a/src/test/java/gladeknot/fleet/ScaleOutRequestTest.java
+++ b/src/test/java/gladeknot/fleet/ScaleOutRequestTest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A scale-out request from its first call to its final answer. */
+/** Tests the states of a scale-out request from its first call to its final answer. */
 class ScaleOutRequestTest {
-  private static final CloudCodec.ScaleOutResponse NONE =
+  private static final CloudCodec.ScaleOutResponse NO_ANSWER =
       new CloudCodec.ScaleOutResponse(0, List.of(), false);
 
   private static ScaleOutRequest request() {
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void isFulfilledByAllInstances() {
+  void isFulfilledWhenAllInstancesStarted() {
     ScaleOutRequest request = request();
     assertEquals(ScaleOutRequest.State.PENDING, request.state());
     assertEquals(ScaleOutRequest.State.FULFILLED, request.onReply(response(200, "vm-1", "vm-2")));
@@ -36,18 +36,18 @@
   }
 
   @Test
-  void isSentFourTimesWhileNoAnswerArrives() {
+  void failsAfterFourCallsWithoutAnswer() {
     ScaleOutRequest request = request();
     for (int retry = 1; retry <= 3; retry++) {
-      assertEquals(ScaleOutRequest.State.RETRYING, request.onReply(NONE));
+      assertEquals(ScaleOutRequest.State.RETRYING, request.onReply(NO_ANSWER));
     }
-    assertEquals(ScaleOutRequest.State.FAILED, request.onReply(NONE));
+    assertEquals(ScaleOutRequest.State.FAILED, request.onReply(NO_ANSWER));
   }
 
   @Test
-  void mayBeFulfilledByARetry() {
+  void canBeFulfilledByRetry() {
     ScaleOutRequest request = request();
-    assertEquals(ScaleOutRequest.State.RETRYING, request.onReply(NONE));
+    assertEquals(ScaleOutRequest.State.RETRYING, request.onReply(NO_ANSWER));
     assertEquals(ScaleOutRequest.State.FULFILLED, request.onReply(response(200, "vm-1", "vm-2")));
   }
 }
