--- a/src/main/java/gladeknot/commit/BatchBuilder.java
+++ b/src/main/java/gladeknot/commit/BatchBuilder.java
@@ -13,15 +13,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Chooses what the next transaction contains. */
+/** Selects the changes that the next transaction contains, and builds its batch. */
 final class BatchBuilder {
   private static final Logger LOG = LoggerFactory.getLogger(BatchBuilder.class);
 
-  /** How long ends wait for others to share a write with; starts and awaited ends don't. */
+  /**
+   * Maximum time that ends of attempts wait so that more changes share one write, in microseconds.
+   * Starts, and ends that free resources for waiting tasks, are written without this delay.
+   */
   private static final long MAX_BATCHING_DELAY_MICROS = 700_000;
 
-  /** The share of a transaction that changes of keys and fields may use, as a divisor. */
-  private static final int MUTATION_SHARE = 2;
+  /** Divisor of the operation limit: key and field mutations use at most this fraction of it. */
+  private static final int MUTATION_SHARE_DIVISOR = 2;
 
   private final StateStore stateStore;
   private final Membership membership;
@@ -57,8 +60,8 @@
   }
 
   /**
-   * Builds a transaction of mutations and of slices without claims: segment by segment, so that one
-   * write commits all that has happened in it.
+   * Builds a transaction of mutations and of slices without claims. Slices are selected by segment,
+   * so that one write commits all pending changes of a segment.
    */
   TransactionBatch buildUpdates() {
     TransactionBatch batch = new TransactionBatch(stateStore, slices.segments());
@@ -66,46 +69,49 @@
     if (maxOperations <= 0) {
       return batch;
     }
-    mutationBatcher.addTo(batch, Math.max(1, maxOperations / MUTATION_SHARE));
-    Set<String> chosen = chooseSegments(maxOperations - batch.operationCount());
-    if (chosen.isEmpty()) {
+    mutationBatcher.addTo(batch, Math.max(1, maxOperations / MUTATION_SHARE_DIVISOR));
+    Set<String> segmentKeys = chooseSegments(maxOperations - batch.operationCount());
+    if (segmentKeys.isEmpty()) {
       return batch;
     }
     for (Slice slice : pending.copyDirtySlices()) {
       if (isPlainUpdate(slice)
-          && chosen.contains(slice.key())
+          && segmentKeys.contains(slice.key())
           && batch.bytes() < limits.maxBytes()
-          && limits.conditionsFit(slice, batch)) {
+          && limits.preconditionsFit(slice, batch)) {
         sliceBatcher.add(slice, batch);
       }
     }
     return batch;
   }
 
-  /** The segments with slices that don't wait any longer, up to a number. */
+  /** Returns the keys of at most {@code maxSegments} segments that have a slice due for commit. */
   private Set<String> chooseSegments(int maxSegments) {
-    Set<String> chosen = new HashSet<>();
+    Set<String> segmentKeys = new HashSet<>();
     for (Slice slice : pending.dirtySlices()) {
       boolean ready = isPlainUpdate(slice) && mayCommit(slice);
-      if (ready && isDue(slice) && chosen.size() < maxSegments) {
-        chosen.add(slice.key());
+      if (ready && isDue(slice) && segmentKeys.size() < maxSegments) {
+        segmentKeys.add(slice.key());
       }
     }
-    return chosen;
+    return segmentKeys;
   }
 
   private static boolean isPlainUpdate(Slice slice) {
     return slice.pendingClaims().isEmpty() && !slice.needsMigration();
   }
 
-  /** Whether a slice's changes may be committed by what its shard's owner may do now. */
+  /**
+   * Returns whether this controller may currently commit a slice's changes. Uncommitted starts need
+   * the authority to schedule; other changes need only the authority to commit.
+   */
   private boolean mayCommit(Slice slice) {
     return membership.permits(ControlAction.SCHEDULE, slice.shard())
         || (membership.permits(ControlAction.COMMIT, slice.shard())
             && !slice.hasUncommittedStarts());
   }
 
-  /** Whether a slice's changes don't wait for others to share a write with any longer. */
+  /** Returns whether a slice's changes are to be committed without further batching delay. */
   private boolean isDue(Slice slice) {
     return state.nowMicros() - slice.dirtySinceMicros() >= MAX_BATCHING_DELAY_MICROS
         || slice.hasUncommittedStarts()
@@ -115,9 +121,9 @@
   }
 
   /**
-   * Builds a transaction of slices with claims, and of nothing else: they rely on other shards'
-   * segments, and little should fail with them. If it is empty and some claims don't fit into what
-   * may be written now, it is marked as awaiting tokens.
+   * Builds a transaction that contains only slices with claims. Claims depend on segments of other
+   * shards, and a conflict there must not make other changes fail. If the batch is empty because
+   * claims exceed the currently available operations, the batch is marked as awaiting tokens.
    */
   TransactionBatch buildClaims() {
     TransactionBatch batch = new TransactionBatch(stateStore, slices.segments());
@@ -143,12 +149,12 @@
   private boolean claimFits(Slice slice, TransactionBatch batch, int maxKeys) {
     Set<String> keys = new HashSet<>(batch.packedKeys());
     keys.add(slice.key());
-    for (Slice from : slice.pendingClaims().keySet()) {
-      keys.add(from.key());
+    for (Slice source : slice.pendingClaims().keySet()) {
+      keys.add(source.key());
     }
     return keys.size() <= maxKeys
         && batch.bytes() <= limits.maxBytes()
-        && limits.conditionsFit(slice, batch);
+        && limits.preconditionsFit(slice, batch);
   }
 
   private static boolean containsJob(TransactionBatch batch, String job) {
@@ -161,34 +167,34 @@
   }
 
   /**
-   * Takes segments out of a batch that would exceed the largest value. Their slices stay dirty and
-   * are tried again when more attempts have ended, so that nothing is sent again that is refused
-   * for its size.
+   * Removes the segments from a batch whose values would exceed the maximum value size, so that no
+   * transaction is repeatedly sent and refused for its size. The slices of these segments stay
+   * dirty and are retried after more attempts have ended.
    */
   void removeOversizedSegments(TransactionBatch batch) {
     for (String key : batch.segmentsLargerThan(limits.maxValueBytes())) {
       LOG.info("write deferred segment={} reason=value-too-large", key);
-      List<SliceSnapshot> relying = relyingOn(key, batch);
-      if (hasClaims(relying)) {
-        // A claimed task's new record and its former one are written together or not at all.
+      List<SliceSnapshot> dependents = dependentsOf(key, batch);
+      if (hasClaims(dependents)) {
+        // The claiming and the claimed slice's records are written together or not at all.
         for (SliceSnapshot snapshot : batch.slices()) {
           reloader.reload(snapshot.slice());
         }
         batch.removeSlices();
         return;
       }
-      batch.removeSegment(key, relying);
+      batch.removeSegment(key, dependents);
     }
   }
 
-  private static List<SliceSnapshot> relyingOn(String key, TransactionBatch batch) {
-    List<SliceSnapshot> relying = new ArrayList<>();
+  private static List<SliceSnapshot> dependentsOf(String key, TransactionBatch batch) {
+    List<SliceSnapshot> dependents = new ArrayList<>();
     for (SliceSnapshot snapshot : batch.slices()) {
       if (snapshot.keys().contains(key)) {
-        relying.add(snapshot);
+        dependents.add(snapshot);
       }
     }
-    return relying;
+    return dependents;
   }
 
   private static boolean hasClaims(List<SliceSnapshot> snapshots) {
--- a/src/main/java/gladeknot/commit/BatchLimits.java
+++ b/src/main/java/gladeknot/commit/BatchLimits.java
@@ -7,21 +7,26 @@
 import gladeknot.tasks.Slice;
 import gladeknot.tasks.SliceRegistry;
 
-/** How much one transaction may contain, by the state store's limits, rates and refusals. */
+/** Limits the size of a transaction by the state store's limits, write tokens and refusals. */
 final class BatchLimits {
-  /** The share of the write tokens that is left to submissions and aborts: users wait for those. */
+  /**
+   * Share of the write tokens reserved for submissions and aborts, because users wait for these.
+   */
   private static final double RESERVED_TOKEN_SHARE = 0.3;
 
-  /** A claim writes two keys. */
+  /** Minimum number of operations in a transaction: a claim writes two keys. */
   private static final int MIN_OPERATIONS = 2;
 
-  /** How small transactions become, by halving the factor after each refusal. */
+  /** Lower bound of the size factor, which is halved after each refusal. */
   private static final double MIN_SIZE_FACTOR = 0.05;
 
-  private static final double SIZE_STEP = 2;
+  /** Factor by which the size factor changes after a commit or a refusal. */
+  private static final double SIZE_FACTOR_STEP = 2;
 
-  /** What a slice relies on besides its job and claims: segment, shard, format, delegation. */
-  private static final int USUAL_CONDITIONS = 5;
+  /**
+   * Number of a slice's preconditions besides job and claims: segment, shard, format, delegation.
+   */
+  private static final int COMMON_PRECONDITIONS = 5;
 
   private final StateStore stateStore;
   private final TransactionLimits limits;
@@ -36,43 +41,46 @@
     this.slices = slices;
   }
 
-  /** A transaction was committed: the next may be larger again. */
+  /** Raises the size limit again after a committed transaction. */
   void onCommitted() {
-    sizeFactor = Math.min(1, sizeFactor * SIZE_STEP);
+    sizeFactor = Math.min(1, sizeFactor * SIZE_FACTOR_STEP);
   }
 
-  /** A transaction was refused, perhaps for its size: it is never sent again as it was. */
+  /**
+   * Lowers the size limit after a refused transaction. The refusal may be due to the transaction's
+   * size, so the transaction is never sent again unchanged.
+   */
   void onRejected() {
-    sizeFactor = Math.max(MIN_SIZE_FACTOR, sizeFactor / SIZE_STEP);
+    sizeFactor = Math.max(MIN_SIZE_FACTOR, sizeFactor / SIZE_FACTOR_STEP);
   }
 
-  /** The most operations of a transaction. */
+  /** Returns the maximum number of operations in a transaction. */
   int maxOperations() {
     return Math.max(MIN_OPERATIONS, (int) (limits.maxOperations() * sizeFactor));
   }
 
-  /** The most operations of a transaction that there are write tokens for. */
+  /** Returns the maximum number of operations in a transaction, limited by the write tokens. */
   int availableOperations() {
     return Math.min(maxOperations(), stateStore.availableWrites(RESERVED_TOKEN_SHARE));
   }
 
-  /** The largest value, in bytes. */
+  /** Returns the maximum size of a value, in bytes. */
   int maxValueBytes() {
     return limits.maxValueBytes();
   }
 
-  /** About the most bytes of all values of a transaction. */
+  /** Returns the approximate maximum size of all values in a transaction, in bytes. */
   int maxBytes() {
     return limits.maxTransactionBytes();
   }
 
   /**
-   * Whether a batch can take a slice's conditions as well: its segment and shard, its job, the
-   * job's other slices if these decide on zones, and the segments that it claims from. An empty
-   * batch takes any slice.
+   * Returns whether a batch has room for a slice's preconditions. They cover the slice's segment
+   * and shard, its job, the segments that it claims from and, if the job has zone constraints, the
+   * job's other slices. A batch without slices has room for any slice.
    */
-  boolean conditionsFit(Slice slice, TransactionBatch batch) {
-    int additional = USUAL_CONDITIONS + slice.pendingClaims().size();
+  boolean preconditionsFit(Slice slice, TransactionBatch batch) {
+    int additional = COMMON_PRECONDITIONS + slice.pendingClaims().size();
     if (slice.needsMigration()) {
       additional++;
     }
@@ -80,11 +88,12 @@
     if (job != null && slice.hasUncommittedStarts() && hasZoneConstraints(job)) {
       additional += slices.ofJob(slice.job()).size();
     }
-    int max = limits.maxConditions(maxOperations());
-    return batch.slices().isEmpty() || batch.conditions().size() + additional <= max;
+    int maxPreconditions = limits.maxConditions(maxOperations());
+    return batch.slices().isEmpty()
+        || batch.preconditions().size() + additional <= maxPreconditions;
   }
 
-  /** Whether a job's tasks may be started only where its others are, or are not. */
+  /** Returns whether the zones of a job's tasks restrict where others of its tasks may start. */
   static boolean hasZoneConstraints(Job job) {
     return job.spec().spread() || job.spec().colocated();
   }
--- a/src/main/java/gladeknot/commit/CommitListener.java
+++ b/src/main/java/gladeknot/commit/CommitListener.java
@@ -1,8 +1,8 @@
 package gladeknot.commit;
 
-/** Hears of the committer's transactions. */
+/** Is notified of the outcomes of the committer's transactions. */
 @FunctionalInterface
 public interface CommitListener {
-  /** A transaction has an outcome, and the slices and mutations in it reflect that outcome. */
+  /** Called after a transaction's outcome has been applied to its slices and mutations. */
   void onOutcomeApplied();
 }
--- a/src/main/java/gladeknot/commit/CommitState.java
+++ b/src/main/java/gladeknot/commit/CommitState.java
@@ -1,6 +1,6 @@
 package gladeknot.commit;
 
-/** The committer's clock, the transaction in flight, and what the next one has to wait for. */
+/** Holds the committer's clock, the transaction in flight and what delays the next transaction. */
 final class CommitState {
   private TransactionBatch inFlight;
   private StartAdmission admission = StartAdmission.ALL;
@@ -8,7 +8,7 @@
   private long notBeforeMicros;
   private long nowMicros;
 
-  /** The time of the last tick, in microseconds of the steady clock. */
+  /** Returns the time of the last tick, in microseconds of the steady clock. */
   long nowMicros() {
     return nowMicros;
   }
@@ -17,7 +17,7 @@
     nowMicros = now;
   }
 
-  /** Decides on starts and ends when a transaction is built. */
+  /** Returns the admission that is asked about starts and ends when a transaction is built. */
   StartAdmission admission() {
     return admission;
   }
@@ -26,37 +26,40 @@
     admission = newAdmission;
   }
 
-  /** Whether a transaction may be sent now. */
+  /** Returns whether a transaction may be sent now. */
   boolean ready() {
     return inFlight == null && !awaitingRevision && nowMicros >= notBeforeMicros;
   }
 
-  /** A transaction is sent. */
+  /** Records that a transaction is in flight. */
   void begin(TransactionBatch batch) {
     inFlight = batch;
   }
 
-  /** The transaction in flight has an outcome. */
+  /** Records that the transaction in flight has an outcome. */
   void end() {
     inFlight = null;
   }
 
-  /** Whether the transaction in flight writes a key. */
+  /** Returns whether the transaction in flight writes a packed key. */
   boolean writes(String key) {
     return inFlight != null && inFlight.writes(key);
   }
 
-  /** Nothing is sent until the state store's copy contains what a transaction conflicted with. */
+  /**
+   * Sends no transaction until the cache contains the revision that the last transaction conflicted
+   * with.
+   */
   void awaitRevision() {
     awaitingRevision = true;
   }
 
-  /** The copy contains what a transaction conflicted with. */
+  /** Records that the cache contains the conflicting revision. */
   void revisionReached() {
     awaitingRevision = false;
   }
 
-  /** Nothing is sent for a time. */
+  /** Sends no transaction for a time, in microseconds. */
   void pause(long micros) {
     notBeforeMicros = nowMicros + micros;
   }
--- a/src/main/java/gladeknot/commit/FieldMutation.java
+++ b/src/main/java/gladeknot/commit/FieldMutation.java
@@ -1,13 +1,13 @@
 package gladeknot.commit;
 
 /**
- * A change of one field of a key that holds many fields, made on behalf of a shard. It is dropped
- * if the field does not have the expected value when its transaction is put together.
+ * A change of one field of a packed key, made on behalf of a shard. The change is dropped if the
+ * field does not have the expected value when the transaction is built.
  *
- * @param shard the owned shard; the transaction is conditional on its key as well
+ * @param shard the owned shard; the revision of its key is a precondition of the transaction
  * @param key the key that holds the field
  * @param field the field's name
- * @param expected the value that the change was decided on; null if the field was absent
+ * @param expected the field's value when the change was decided; null if the field was absent
  * @param value the new value; null removes the field
  * @param callback receives the outcome
  */
--- a/src/main/java/gladeknot/commit/KeyMutation.java
+++ b/src/main/java/gladeknot/commit/KeyMutation.java
@@ -8,29 +8,30 @@
 /**
  * A change of one whole key, made on behalf of a shard.
  *
- * @param shard the owned shard; the transaction is conditional on its key as well
- * @param mutation the new value of the key
- * @param conditions the revisions that the change was decided on, by key
- * @param stillHolds is asked each time the change is about to be sent; if not, it is dropped
+ * @param shard the owned shard; the revision of its key is a precondition of the transaction
+ * @param mutation the operation on the key
+ * @param preconditions the revisions that the change was decided on, by key
+ * @param stillValid checked each time the change is added to a transaction; if it returns false,
+ *     the change is dropped
  * @param callback receives the outcome
  */
 public record KeyMutation(
     int shard,
     Mutation mutation,
-    Map<String, Long> conditions,
-    BooleanSupplier stillHolds,
+    Map<String, Long> preconditions,
+    BooleanSupplier stillValid,
     MutationCallback callback) {
 
-  /** A change that depends on nothing but the revisions. */
+  /** Creates a change that depends only on revisions. */
   public KeyMutation(
-      int shard, Mutation mutation, Map<String, Long> conditions, MutationCallback callback) {
-    this(shard, mutation, conditions, () -> true, callback);
+      int shard, Mutation mutation, Map<String, Long> preconditions, MutationCallback callback) {
+    this(shard, mutation, preconditions, () -> true, callback);
   }
 
-  /** Whether it was decided on the revision of one of some keys. */
-  boolean reliesOnAny(List<String> keys) {
+  /** Returns whether the change is conditional on the revision of any of the given keys. */
+  boolean dependsOnAny(List<String> keys) {
     for (String key : keys) {
-      if (conditions.containsKey(key)) {
+      if (preconditions.containsKey(key)) {
         return true;
       }
     }
--- a/src/main/java/gladeknot/commit/MutationBatcher.java
+++ b/src/main/java/gladeknot/commit/MutationBatcher.java
@@ -4,7 +4,7 @@
 import gladeknot.membership.Membership;
 import java.util.Objects;
 
-/** Adds waiting changes of keys and fields to a transaction. */
+/** Adds pending key and field mutations to a transaction. */
 final class MutationBatcher {
   private final Membership membership;
   private final PendingChanges pending;
@@ -14,15 +14,15 @@
     this.pending = pending;
   }
 
-  /** Adds what fits within a number of operations, fields first. */
+  /** Adds as many mutations as fit into a number of operations, field mutations first. */
   void addTo(TransactionBatch batch, int maxOperations) {
-    for (int left = pending.fieldMutationCount(); left > 0; left--) {
+    for (int remaining = pending.fieldMutationCount(); remaining > 0; remaining--) {
       add(pending.takeFieldMutation(), batch, maxOperations);
     }
-    int left = pending.keyMutationCount();
-    while (left > 0 && batch.operationCount() < maxOperations) {
+    int remaining = pending.keyMutationCount();
+    while (remaining > 0 && batch.operationCount() < maxOperations) {
       add(pending.takeKeyMutation(), batch);
-      left--;
+      remaining--;
     }
   }
 
@@ -39,8 +39,8 @@
       pending.submit(mutation);
       return;
     }
-    String present = batch.fieldAfter(mutation.key(), mutation.field());
-    if (!Objects.equals(present, mutation.expected())) {
+    String current = batch.fieldAfter(mutation.key(), mutation.field());
+    if (!Objects.equals(current, mutation.expected())) {
       mutation.callback().onOutcome(false);
       return;
     }
@@ -57,11 +57,11 @@
       }
       return;
     }
-    if (!mutation.stillHolds().getAsBoolean()) {
+    if (!mutation.stillValid().getAsBoolean()) {
       mutation.callback().onOutcome(false);
       return;
     }
-    if (batch.requiresAny(mutation.conditions().keySet())) {
+    if (batch.requiresAny(mutation.preconditions().keySet())) {
       pending.submit(mutation);
       return;
     }
--- a/src/main/java/gladeknot/commit/OutcomeHandler.java
+++ b/src/main/java/gladeknot/commit/OutcomeHandler.java
@@ -18,7 +18,7 @@
 final class OutcomeHandler {
   private static final Logger LOG = LoggerFactory.getLogger(OutcomeHandler.class);
 
-  /** How long nothing is sent after a transaction that was surely not executed. */
+  /** Pause after a transaction that was certainly not executed, in microseconds. */
   private static final long PAUSE_MICROS = 150_000;
 
   private final StateStore stateStore;
@@ -50,12 +50,12 @@
     this.state = state;
   }
 
-  /** Sets who hears of each outcome after it has been applied. */
+  /** Sets the listener that is notified after each outcome has been applied. */
   void setListener(CommitListener newListener) {
     listener = newListener;
   }
 
-  /** The transaction in flight has an outcome. */
+  /** Handles the outcome of the transaction in flight. */
   void onOutcome(TransactionBatch batch, CommitOutcome outcome) {
     state.end();
     if (outcome.status() == CommitStatus.CONFLICT) {
@@ -82,9 +82,8 @@
   private void onSliceCommitted(SliceSnapshot snapshot) {
     Slice slice = snapshot.slice();
     if (!slices.contains(slice) || slice.reloads() != snapshot.reloads()) {
-      // Dropped or loaded again since it was sent, as when its shard was handed over: the slice
-      // does
-      // not hold what was committed, but its record does.
+      // The slice was dropped or reloaded while the transaction was in flight, for example because
+      // its shard changed owner. The working copy lacks the committed changes; the record has them.
       reloader.reload(slice);
       loadClaimed(snapshot);
       return;
@@ -104,8 +103,8 @@
   }
 
   private void loadClaimed(SliceSnapshot snapshot) {
-    for (Slice from : snapshot.claims().keySet()) {
-      reloader.load(from.shard(), from.job());
+    for (Slice source : snapshot.claims().keySet()) {
+      reloader.load(source.shard(), source.job());
     }
   }
 
@@ -136,16 +135,16 @@
         });
   }
 
-  /** Drops what was decided on keys that have changed; the rest of the batch waits again. */
+  /** Drops changes that depend on conflicting keys; all others of the batch stay pending. */
   private void dropConflicting(TransactionBatch batch, List<String> changedKeys) {
     batch.packedKeys().forEach(reloader::refreshSegment);
     for (SliceSnapshot snapshot : batch.slices()) {
-      if (snapshot.reliesOnAny(changedKeys) && pending.isDirty(snapshot.slice())) {
+      if (snapshot.dependsOnAny(changedKeys) && pending.isDirty(snapshot.slice())) {
         reloader.reload(snapshot.slice());
       }
     }
     for (KeyMutation mutation : batch.keyMutations()) {
-      if (mutation.reliesOnAny(changedKeys)) {
+      if (mutation.dependsOnAny(changedKeys)) {
         mutation.callback().onOutcome(false);
       } else {
         pending.submit(mutation);
@@ -155,8 +154,9 @@
   }
 
   /**
-   * The transaction may have been executed, or may be later. A new revision of each shard's key
-   * rules out the latter; then the state store's copy shows what has been.
+   * Handles a transaction that may have been executed or may still be executed later. A new
+   * revision of each shard's key rules out later execution. Once that revision is in the cache, the
+   * cache shows whether the transaction was executed.
    */
   private void onUnknown(TransactionBatch batch) {
     Set<Integer> shards = new TreeSet<>();
--- a/src/main/java/gladeknot/commit/PendingChanges.java
+++ b/src/main/java/gladeknot/commit/PendingChanges.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** What waits to be committed: dirty slices, changes of whole keys, changes of fields. */
+/** Holds the changes to be committed: dirty slices, key mutations and field mutations. */
 final class PendingChanges {
   private final Set<Slice> dirty = new LinkedHashSet<>();
   private final ArrayDeque<KeyMutation> keyMutations = new ArrayDeque<>();
@@ -17,7 +17,7 @@
     return dirty.isEmpty() && keyMutations.isEmpty() && fieldMutations.isEmpty();
   }
 
-  /** A slice's working copy has changed. */
+  /** Marks a slice as dirty, because its working copy has changed. */
   void markDirty(Slice slice, long nowMicros) {
     slice.markDirty(nowMicros);
     dirty.add(slice);
@@ -27,22 +27,22 @@
     return dirty.contains(slice);
   }
 
-  /** A slice has nothing to commit any more. */
+  /** Removes a slice that has nothing left to commit. */
   void remove(Slice slice) {
     dirty.remove(slice);
   }
 
-  /** Some slices have nothing to commit any more. */
+  /** Removes all dirty slices that match a condition. */
   void removeIf(Predicate<Slice> condition) {
     dirty.removeIf(condition);
   }
 
-  /** The dirty slices in the order in which they became so; not to be changed. */
+  /** Returns the dirty slices in the order in which they became dirty; must not be modified. */
   Set<Slice> dirtySlices() {
     return dirty;
   }
 
-  /** A copy of the dirty slices, for loops that reload some of them. */
+  /** Returns a copy of the dirty slices, for loops that reload slices. */
   List<Slice> copyDirtySlices() {
     return List.copyOf(dirty);
   }
@@ -63,29 +63,29 @@
     return fieldMutations.size();
   }
 
-  /** Takes the change of a whole key that has waited longest; there must be one. */
+  /** Removes and returns the first key mutation of the queue; at least one must be pending. */
   KeyMutation takeKeyMutation() {
     return keyMutations.remove();
   }
 
-  /** Takes the change of a field that has waited longest; there must be one. */
+  /** Removes and returns the first field mutation of the queue; at least one must be pending. */
   FieldMutation takeFieldMutation() {
     return fieldMutations.remove();
   }
 
-  /** The mutations of a batch that was not sent are the next ones again, in reverse order. */
+  /** Puts the mutations of an unsent batch at the front of the queues, in reverse order. */
   void putBack(TransactionBatch batch) {
     batch.keyMutations().forEach(keyMutations::addFirst);
     batch.fieldMutations().forEach(fieldMutations::addFirst);
   }
 
-  /** The mutations of a batch that was not committed wait again, behind all others. */
+  /** Appends the mutations of an uncommitted batch to the queues. */
   void resubmit(TransactionBatch batch) {
     keyMutations.addAll(batch.keyMutations());
     resubmitFieldMutations(batch);
   }
 
-  /** The field mutations of a batch that was not committed wait again, behind all others. */
+  /** Appends the field mutations of an uncommitted batch to their queue. */
   void resubmitFieldMutations(TransactionBatch batch) {
     fieldMutations.addAll(batch.fieldMutations());
   }
--- a/src/main/java/gladeknot/commit/SegmentMigration.java
+++ b/src/main/java/gladeknot/commit/SegmentMigration.java
@@ -12,37 +12,39 @@
 import java.util.Set;
 
 /**
- * Chooses which slices move next from a segment of an earlier storage format to the segments where
- * they belong.
+ * Selects the slices that move next from a segment of an earlier storage format to their target
+ * segments.
  *
- * <p>What remains in a segment must fit the largest value, so each step moves as many groups of
- * slices with one target as one transaction can, the largest first.
+ * <p>The records that remain in the old segment must fit the maximum value size. Each step
+ * therefore groups slices by target segment and moves as many groups as one transaction can hold,
+ * the largest groups first.
  */
 final class SegmentMigration {
   /**
-   * One step.
+   * One step of the migration.
    *
    * @param segment the key of the segment that is emptied
-   * @param moving the slices that move
-   * @param staying the slices that remain in the segment until another step, or for good
+   * @param moving the slices that move to their target segments
+   * @param remaining the slices that stay in the segment, either until a later step or permanently
    */
-  record Step(String segment, List<Slice> moving, List<Slice> staying) {}
+  record Step(String segment, List<Slice> moving, List<Slice> remaining) {}
 
   private SegmentMigration() {}
 
   /**
-   * The next step for a shard's slices.
+   * Returns the next step for a shard's slices.
    *
-   * @param maxOperations how many keys a transaction may change
-   * @param unmovable segments that are left out
-   * @return empty if no slice that may be moved is out of place
+   * @param slices the shard's slices
+   * @param maxOperations maximum number of keys that a transaction may change
+   * @param unmovable keys of the segments to skip
+   * @return the next step; empty if no movable slice is in a segment of an earlier format
    */
   static Optional<Step> next(Collection<Slice> slices, int maxOperations, Set<String> unmovable) {
     String segment = null;
     Map<String, List<Slice>> groups = new LinkedHashMap<>();
     for (Slice slice : slices) {
-      boolean wanted = segment == null || segment.equals(slice.storedKey());
-      if (wanted && isMovable(slice, unmovable)) {
+      boolean inSelectedSegment = segment == null || segment.equals(slice.storedKey());
+      if (inSelectedSegment && isMovable(slice, unmovable)) {
         segment = slice.storedKey();
         groups.computeIfAbsent(slice.targetKey(), key -> new ArrayList<>()).add(slice);
       }
@@ -51,8 +53,8 @@
       return Optional.empty();
     }
     // One of the operations changes the segment itself.
-    List<Slice> moving = largest(groups.values(), maxOperations - 1);
-    return Optional.of(new Step(segment, moving, staying(slices, segment, moving)));
+    List<Slice> moving = largestGroups(groups.values(), maxOperations - 1);
+    return Optional.of(new Step(segment, moving, remaining(slices, segment, moving)));
   }
 
   private static boolean isMovable(Slice slice, Set<String> unmovable) {
@@ -61,9 +63,9 @@
         && !unmovable.contains(slice.storedKey());
   }
 
-  private static List<Slice> largest(Collection<List<Slice>> groups, int maxGroups) {
+  private static List<Slice> largestGroups(Collection<List<Slice>> groups, int maxGroups) {
     List<List<Slice>> bySize = new ArrayList<>(groups);
-    bySize.sort(Comparator.comparingInt(SegmentMigration::size).reversed());
+    bySize.sort(Comparator.comparingInt(SegmentMigration::encodedLength).reversed());
     List<Slice> chosen = new ArrayList<>();
     for (List<Slice> group : bySize.subList(0, Math.min(maxGroups, bySize.size()))) {
       chosen.addAll(group);
@@ -71,22 +73,23 @@
     return chosen;
   }
 
-  private static List<Slice> staying(Collection<Slice> slices, String segment, List<Slice> moving) {
-    Set<Slice> moved = new HashSet<>(moving);
-    List<Slice> staying = new ArrayList<>();
+  private static List<Slice> remaining(
+      Collection<Slice> slices, String segment, List<Slice> moving) {
+    Set<Slice> movingSet = new HashSet<>(moving);
+    List<Slice> remaining = new ArrayList<>();
     for (Slice slice : slices) {
-      if (segment.equals(slice.storedKey()) && !moved.contains(slice)) {
-        staying.add(slice);
+      if (segment.equals(slice.storedKey()) && !movingSet.contains(slice)) {
+        remaining.add(slice);
       }
     }
-    return staying;
+    return remaining;
   }
 
-  private static int size(List<Slice> group) {
-    int size = 0;
+  private static int encodedLength(List<Slice> group) {
+    int length = 0;
     for (Slice slice : group) {
-      size += slice.encode().length();
+      length += slice.encode().length();
     }
-    return size;
+    return length;
   }
 }
--- a/src/main/java/gladeknot/commit/SegmentMigrator.java
+++ b/src/main/java/gladeknot/commit/SegmentMigrator.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 
 /**
- * Moves records that are in segments of an earlier storage format to the segments where they
- * belong, one segment at a time and before anything else is committed: such a segment may be larger
- * than any value may be soon.
+ * Moves records from segments of an earlier storage format to their target segments, one segment at
+ * a time. Migration has priority over all other commits, because an old segment may exceed the
+ * maximum value size that will soon be in force.
  */
 final class SegmentMigrator {
-  /** How long after the last step the slices are searched again for misplaced records. */
+  /** Interval between a search that found no step and the next search, in microseconds. */
   private static final long RETRY_INTERVAL_MICROS = 500_000;
 
   private final StateStore stateStore;
@@ -29,7 +29,7 @@
   private final SliceBatcher sliceBatcher;
   private final TransactionSender sender;
 
-  /** Segments that could not be moved as they are; tried again after all others. */
+  /** Keys of segments that could not be moved; retried after all other segments. */
   private final Set<String> unmovable = new HashSet<>();
 
   private long nextSearchMicros;
@@ -55,7 +55,7 @@
     this.sender = sender;
   }
 
-  /** Takes the next step; returns whether one is in flight or waits for write tokens. */
+  /** Executes the next step; returns whether a step is in flight or waits for write tokens. */
   boolean migrate() {
     if (state.nowMicros() < nextSearchMicros) {
       return false;
@@ -68,7 +68,7 @@
       Optional<SegmentMigration.Step> step =
           SegmentMigration.next(slices.inShard(shard), limits.maxOperations(), unmovable);
       if (step.isPresent()) {
-        return take(step.get());
+        return execute(step.get());
       }
     }
     unmovable.clear();
@@ -76,7 +76,10 @@
     return false;
   }
 
-  /** Claims of a slice are decided again once its record is where it belongs. */
+  /**
+   * Drops the claims of slices that need migration. Claims are decided again after the slice's
+   * record has moved.
+   */
   private void dropMisplacedClaims(int shard) {
     for (Slice slice : List.copyOf(slices.inShard(shard))) {
       if (slice.needsMigration() && !slice.pendingClaims().isEmpty()) {
@@ -85,27 +88,27 @@
     }
   }
 
-  private boolean take(SegmentMigration.Step step) {
-    TransactionBatch batch = batchOf(step);
-    // A record must not leave one segment without entering the other: all is written, or nothing.
+  private boolean execute(SegmentMigration.Step step) {
+    TransactionBatch batch = buildBatch(step);
+    // A record must leave its old segment and enter its target segment in the same transaction.
     if (batch.slices().isEmpty() || !batch.segmentsLargerThan(limits.maxValueBytes()).isEmpty()) {
       unmovable.add(step.segment());
       return false;
     }
-    // While its tokens are missing nothing else is sent that would take them.
+    // Returns true even if write tokens are missing, so that no other transaction uses them up.
     sender.trySend(batch);
     return true;
   }
 
-  private TransactionBatch batchOf(SegmentMigration.Step step) {
+  private TransactionBatch buildBatch(SegmentMigration.Step step) {
     TransactionBatch batch = new TransactionBatch(stateStore, slices.segments());
     for (Slice slice : step.moving()) {
-      if (limits.conditionsFit(slice, batch)) {
+      if (limits.preconditionsFit(slice, batch)) {
         sliceBatcher.add(slice, batch);
       }
     }
-    for (Slice slice : step.staying()) {
-      // Written again, and so in the compact form. Changes of dirty slices are committed later.
+    for (Slice slice : step.remaining()) {
+      // Rewrites the record in its compact form. Changes of dirty slices are committed later.
       if (!pending.isDirty(slice)) {
         batch.put(step.segment(), slice.job(), slice.encode());
       }
--- a/src/main/java/gladeknot/commit/SliceBatcher.java
+++ b/src/main/java/gladeknot/commit/SliceBatcher.java
@@ -17,18 +17,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Adds a slice's changes to a transaction, with all that they are conditional on. */
+/** Adds a slice's changes to a transaction, together with their preconditions. */
 final class SliceBatcher {
   private static final Logger LOG = LoggerFactory.getLogger(SliceBatcher.class);
 
-  /** How long a slice whose segment is full starts nothing. */
-  private static final long FULL_BACK_OFF_MICROS = 700_000;
+  /** Backoff of starts in a slice whose segment is full, in microseconds. */
+  private static final long FULL_SEGMENT_BACKOFF_MICROS = 700_000;
 
-  /** How long nothing is claimed from a slice whose segment is full. */
-  private static final long FULL_CLAIM_BACK_OFF_MICROS = 2_000_000;
+  /** Backoff of claims from a slice whose segment is full, in microseconds. */
+  private static final long FULL_SEGMENT_CLAIM_BACKOFF_MICROS = 2_000_000;
 
-  /** How long a slice starts nothing whose tasks belong to another one as well. */
-  private static final long DAMAGED_BACK_OFF_MICROS = 2_000_000;
+  /** Backoff of starts in a slice whose tasks also belong to another slice, in microseconds. */
+  private static final long INTEGRITY_BACKOFF_MICROS = 2_000_000;
 
   private final Membership membership;
   private final JobRegistry jobs;
@@ -56,12 +56,14 @@
   }
 
   /**
-   * Adds a slice to a batch. If what was decided does not hold any more or does not fit into the
+   * Adds a slice to a batch. If its starts or claims are no longer valid or do not fit into the
    * segments, the slice is reloaded instead, which drops its uncommitted starts and claims.
    */
   void add(Slice slice, TransactionBatch batch) {
     if (slice.needsMigration() && hasRecordAtTarget(slice)) {
-      // A second record, left by a version before: moving this one would overwrite its attempts.
+      // An earlier version left a second record in the target segment. Moving this record there
+      // would
+      // overwrite the attempts of the second record.
       reloader.reload(slice);
       return;
     }
@@ -69,12 +71,12 @@
     if (job == null) {
       dropUncommittedStarts(slice);
     }
-    if (!claimsHold(slice) || !startsHold(slice, job)) {
-      // Other shards have started some of the job's tasks since, or the quota is used up.
+    if (!claimsAreValid(slice) || !startsAreAllowed(slice, job)) {
+      // Another shard has started some of the job's tasks meanwhile, or the quota is used up.
       reloader.reload(slice);
       return;
     }
-    // Nothing of a job that has ended is on a machine any more: its record is removed.
+    // The job has ended and none of its attempts is live: the slice's record is deleted.
     String record = job == null && !hasLiveAttempts(slice) ? null : slice.encode();
     if (!recordFits(slice, record, batch) || !claimsFit(slice, batch)) {
       return;
@@ -88,7 +90,7 @@
       requireJob(slice, job, batch, keys);
     }
     putClaims(slice, batch, keys);
-    logConditions(slice, batch, keys);
+    logPreconditions(slice, batch, keys);
     batch.add(SliceSnapshot.of(slice, key, keys));
   }
 
@@ -96,7 +98,7 @@
     return slices.segments().value(slice.targetKey()).contains(slice.job());
   }
 
-  /** Starts of a job that has ended are not committed any more. */
+  /** Drops the uncommitted starts and the claims of a slice whose job has ended. */
   private void dropUncommittedStarts(Slice slice) {
     for (Attempt attempt : List.copyOf(slice.attemptsByTask().values())) {
       if (!attempt.committed()) {
@@ -106,13 +108,13 @@
     slice.dropClaims();
   }
 
-  /** Whether all tasks that a slice claims are still pending where they are claimed from. */
-  private boolean claimsHold(Slice slice) {
+  /** Returns whether all tasks that a slice claims are still pending in their source slices. */
+  private boolean claimsAreValid(Slice slice) {
     for (Map.Entry<Slice, BitSet> claim : slice.pendingClaims().entrySet()) {
-      Slice from = claim.getKey();
-      if (!slices.contains(from)
-          || pending.isDirty(from)
-          || !claim.getValue().stream().allMatch(from::isPending)) {
+      Slice source = claim.getKey();
+      if (!slices.contains(source)
+          || pending.isDirty(source)
+          || !claim.getValue().stream().allMatch(source::isPending)) {
         return false;
       }
     }
@@ -120,18 +122,18 @@
   }
 
   /**
-   * Whether the quota and the zone constraints of its job allow a slice's uncommitted starts, and
-   * its tasks belong to no other slice.
+   * Returns whether a slice's uncommitted starts are allowed by the quota and by the job's zone
+   * constraints, and no task of the job belongs to two slices.
    */
-  private boolean startsHold(Slice slice, Job job) {
+  private boolean startsAreAllowed(Slice slice, Job job) {
     if (job == null || !slice.hasUncommittedStarts()) {
       return true;
     }
     if (!slices.integrity().holds(job)) {
-      // Another slice may have started the same tasks. The monitor of slices reports it.
-      long untilMicros = state.nowMicros() + DAMAGED_BACK_OFF_MICROS;
+      // Another slice may have started the same tasks. SliceMonitor reports the violation.
+      long untilMicros = state.nowMicros() + INTEGRITY_BACKOFF_MICROS;
       slice.backOffUntil(untilMicros);
-      slice.pendingClaims().keySet().forEach(from -> from.backOffUntil(untilMicros));
+      slice.pendingClaims().keySet().forEach(source -> source.backOffUntil(untilMicros));
       return false;
     }
     return state.admission().admits(slice) && slices.zoneConstraintsHold(job.spec());
@@ -147,8 +149,9 @@
   }
 
   /**
-   * Whether a slice's segment can hold its record. If not, its tasks wait until the segment is
-   * split, others have ended, or they are claimed. Ends are always written: they free space.
+   * Returns whether a slice's segment can hold its record. If not, the slice's tasks wait until the
+   * segment is split, other tasks have ended or other shards claim them. Changes without starts are
+   * always written, because ends free space.
    */
   private boolean recordFits(Slice slice, String record, TransactionBatch batch) {
     if (!slice.hasUncommittedStarts()) {
@@ -160,22 +163,23 @@
     }
     membership.format().reportSegmentFull();
     reloader.reload(slice);
-    slice.backOffUntil(state.nowMicros() + FULL_BACK_OFF_MICROS);
+    slice.backOffUntil(state.nowMicros() + FULL_SEGMENT_BACKOFF_MICROS);
     return false;
   }
 
   /**
-   * Whether the segments that a slice claims from can hold the records of what is left: claiming
-   * tasks may make a record longer, or may be the reason for a slice's first one.
+   * Returns whether the segments that a slice claims from can hold the records of the remaining
+   * tasks. A claim may make the source slice's record longer or create its first record.
    */
   private boolean claimsFit(Slice slice, TransactionBatch batch) {
     for (Map.Entry<Slice, BitSet> claim : slice.pendingClaims().entrySet()) {
-      Slice from = claim.getKey();
-      String remaining = from.encode(without(from.assigned(), claim.getValue()));
-      int bytes = batch.bytesAfter(from.key()) + PackedValue.encodedBytes(from.job(), remaining);
+      Slice source = claim.getKey();
+      String remaining = source.encode(withoutTasks(source.assigned(), claim.getValue()));
+      int bytes =
+          batch.bytesAfter(source.key()) + PackedValue.encodedBytes(source.job(), remaining);
       if (bytes > limits.maxValueBytes()) {
         reloader.reload(slice);
-        from.backOffUntil(state.nowMicros() + FULL_CLAIM_BACK_OFF_MICROS);
+        source.backOffUntil(state.nowMicros() + FULL_SEGMENT_CLAIM_BACKOFF_MICROS);
         return false;
       }
     }
@@ -193,14 +197,18 @@
   }
 
   private void requireOwnership(Slice slice, TransactionBatch batch, Set<String> keys) {
-    // A controller that knows an earlier format would look for the record, or make it, elsewhere.
+    // A controller that knows only an earlier format would look for the record, or create it, in
+    // another segment.
     batch.require(StorageFormat.key(), membership.format().revision());
     String shardKey = Membership.shardKey(slice.shard());
     batch.requireCurrent(shardKey);
     keys.add(shardKey);
   }
 
-  /** Ends by lease expiry hold only if no other controller has begun to renew the leases. */
+  /**
+   * Makes ends by lease expiry conditional on the lease delegation entry. Such an end is valid only
+   * if no other controller has begun to renew the leases.
+   */
   private static void requireLeaseDelegations(
       Slice slice, TransactionBatch batch, Set<String> keys) {
     for (Attempt attempt : slice.attemptsByTask().values()) {
@@ -213,15 +221,16 @@
   }
 
   private void requireJob(Slice slice, Job job, TransactionBatch batch, Set<String> keys) {
-    // A cancellation that is committed before this start makes the start fail.
+    // If a cancellation of the job is committed first, the transaction fails.
     String jobKey = Job.key(slice.job());
     batch.require(jobKey, job.modRevision());
     keys.add(jobKey);
     if (!BatchLimits.hasZoneConstraints(job)) {
       return;
     }
-    // Where a job's tasks may be started depends on where its others are, in whichever slice. A
-    // slice that is not known here came from one that is, whose segment was written with it.
+    // Zone constraints depend on the zones of the job's tasks in all its slices. A slice that this
+    // controller does not know yet took its tasks from a known slice, whose segment was written in
+    // the same transaction.
     for (Slice other : slices.ofJob(slice.job())) {
       if (other != slice) {
         batch.requireCurrent(other.key());
@@ -232,34 +241,34 @@
 
   private static void putClaims(Slice slice, TransactionBatch batch, Set<String> keys) {
     for (Map.Entry<Slice, BitSet> claim : slice.pendingClaims().entrySet()) {
-      Slice from = claim.getKey();
-      String remaining = from.encode(without(from.assigned(), claim.getValue()));
-      batch.put(from.key(), from.job(), remaining);
-      keys.add(from.key());
+      Slice source = claim.getKey();
+      String remaining = source.encode(withoutTasks(source.assigned(), claim.getValue()));
+      batch.put(source.key(), source.job(), remaining);
+      keys.add(source.key());
     }
   }
 
-  /** Logs, for debugging, what a first record or a claim is conditional on. */
-  private void logConditions(Slice slice, TransactionBatch batch, Set<String> keys) {
-    boolean first = slice.storedKey() == null;
-    if (!LOG.isDebugEnabled() || (!first && slice.pendingClaims().isEmpty())) {
+  /** Logs the preconditions of a slice's first record or of a claim at debug level. */
+  private void logPreconditions(Slice slice, TransactionBatch batch, Set<String> keys) {
+    boolean firstRecord = slice.storedKey() == null;
+    if (!LOG.isDebugEnabled() || (!firstRecord && slice.pendingClaims().isEmpty())) {
       return;
     }
-    Map<String, Long> conditions = new TreeMap<>(batch.conditions());
-    conditions.keySet().retainAll(keys);
+    Map<String, Long> preconditions = new TreeMap<>(batch.preconditions());
+    preconditions.keySet().retainAll(keys);
     LOG.debug(
         "slice write decided job={} shard={} first_record={} claims={} conditions={}"
             + " mark_revision={} copy_revision={}",
         slice.job(),
         slice.shard(),
-        first,
+        firstRecord,
         slice.pendingClaims().values(),
-        conditions,
+        preconditions,
         membership.format().revision(),
         membership.copyRevision());
   }
 
-  private static BitSet without(BitSet all, BitSet claimed) {
+  private static BitSet withoutTasks(BitSet all, BitSet claimed) {
     BitSet remaining = (BitSet) all.clone();
     remaining.andNot(claimed);
     return remaining;
--- a/src/main/java/gladeknot/commit/SliceReloader.java
+++ b/src/main/java/gladeknot/commit/SliceReloader.java
@@ -10,7 +10,7 @@
 import gladeknot.tracing.TaskTracer;
 import java.util.List;
 
-/** Loads slices again when their stored records have changed or their shards change owner. */
+/** Reloads slices when their stored records have changed or their shards have changed owner. */
 final class SliceReloader {
   private final StateStore stateStore;
   private final Membership membership;
@@ -37,26 +37,26 @@
     this.state = state;
   }
 
-  /** Loads a slice again: what was only decided is dropped, ends that were observed are kept. */
+  /** Reloads a slice: uncommitted starts and claims are dropped, and observed ends are kept. */
   void reload(Slice slice) {
     pending.remove(slice);
     loadAndRecommit(slice.shard(), slice.job());
   }
 
-  /** Sets a slice to its stored record, with nothing left to commit. */
+  /** Resets a slice to its stored record, without anything to commit. */
   void discardChanges(Slice slice) {
     pending.remove(slice);
     load(slice.shard(), slice.job());
   }
 
-  /** Loads a slice to which nothing was added that has to be committed. */
+  /** Loads a slice that has no changes to commit. */
   void load(int shard, String job) {
     slices.load(shard, job, jobs.active(job));
   }
 
   /**
    * Loads the slices whose records in a segment have changed. A segment that is being written is
-   * left alone until its transaction has an outcome; keys that are not segments are ignored.
+   * skipped until its transaction has an outcome. Keys that are not segments are ignored.
    */
   void refreshSegment(String key) {
     if (!key.startsWith(SegmentLayout.KEY_PREFIX) || state.writes(key)) {
@@ -78,7 +78,7 @@
     slices.load(shard, job, jobs.active(job)).ifPresent(this::recommit);
   }
 
-  /** Marks a slice as dirty if the end of an attempt or of its job is still to be committed. */
+  /** Marks a slice as dirty if the end of an attempt or of the slice's job is not committed yet. */
   private void recommit(Slice slice) {
     if (!membership.ownedShards().contains(slice.shard())) {
       return;
@@ -104,7 +104,10 @@
     return false;
   }
 
-  /** A shard has been acquired, or its commits of unknown outcome have been settled. */
+  /**
+   * Reloads a shard that has been acquired, or whose transactions of unknown outcome have been
+   * resolved.
+   */
   void onAcquired(int shard) {
     String prefix = SegmentLayout.keyPrefix(shard);
     for (String key : List.copyOf(stateStore.withPrefix(prefix).keySet())) {
@@ -115,7 +118,7 @@
     }
   }
 
-  /** A shard has been released: its slices are what their records say. */
+  /** Drops the changes of a released shard and resets its slices to their stored records. */
   void onReleased(int shard) {
     pending.removeIf(slice -> slice.shard() == shard);
     slices.forgetAttempts(shard);
--- a/src/main/java/gladeknot/commit/SliceSnapshot.java
+++ b/src/main/java/gladeknot/commit/SliceSnapshot.java
@@ -9,17 +9,17 @@
 import java.util.Set;
 
 /**
- * A slice as a transaction contains it.
+ * The state of a slice when it was added to a transaction.
  *
  * @param slice the working copy, which may change while the transaction is in flight
  * @param key the segment that the record is written to
  * @param version the working copy's version
- * @param reloads how often the slice had been loaded again
- * @param done the tasks that are done
+ * @param reloads number of times that the slice had been reloaded
+ * @param done the completed tasks
  * @param live the attempts that the record contains
  * @param closed the attempts whose ends the transaction commits
- * @param claims the tasks that are claimed from other slices
- * @param keys the keys that the slice's part of the transaction changes or relies on
+ * @param claims the tasks that are claimed, by source slice
+ * @param keys the keys that the slice's part of the transaction changes or is conditional on
  */
 record SliceSnapshot(
     Slice slice,
@@ -32,7 +32,7 @@
     Map<Slice, BitSet> claims,
     Set<String> keys) {
 
-  /** The slice as it is now. */
+  /** Creates a snapshot of a slice's current state. */
   static SliceSnapshot of(Slice slice, String key, Set<String> keys) {
     List<Attempt> live = new ArrayList<>();
     List<Attempt> closed = new ArrayList<>();
@@ -51,8 +51,8 @@
         keys);
   }
 
-  /** Whether it changes or relies on one of some keys. */
-  boolean reliesOnAny(List<String> changedKeys) {
+  /** Returns whether the slice's changes write or depend on any of the given keys. */
+  boolean dependsOnAny(List<String> changedKeys) {
     for (String changed : changedKeys) {
       if (keys.contains(changed)) {
         return true;
--- a/src/main/java/gladeknot/commit/StartAdmission.java
+++ b/src/main/java/gladeknot/commit/StartAdmission.java
@@ -2,7 +2,7 @@
 
 import gladeknot.tasks.Slice;
 
-/** Decides, when a transaction is built, on starts that were decided on earlier. */
+/** Decides, when a transaction is built, whether starts decided earlier may still be committed. */
 public interface StartAdmission {
   /** Admits every start. */
   StartAdmission ALL =
@@ -21,12 +21,12 @@
         }
       };
 
-  /** A transaction is about to be built. */
+  /** Called before a transaction is built. */
   void beginBatch();
 
-  /** Whether a slice's uncommitted starts may still be committed. */
+  /** Returns whether a slice's uncommitted starts may still be committed. */
   boolean admits(Slice slice);
 
-  /** Whether tasks wait for what the ends of a slice's tasks make free, once they are committed. */
+  /** Returns whether pending tasks wait for resources that a slice's ends free once committed. */
   boolean awaitsEnds(Slice slice);
 }
--- a/src/main/java/gladeknot/commit/TransactionBatch.java
+++ b/src/main/java/gladeknot/commit/TransactionBatch.java
@@ -12,13 +12,13 @@
 import java.util.Set;
 
 /**
- * The contents of one transaction: the changes of whole keys, the new values of packed keys, the
- * revisions that all this was decided on, and the slices and mutations whose changes it contains.
+ * The contents of one transaction: key mutations, new values of packed keys, preconditions, and the
+ * slices and mutations whose changes the transaction contains.
  *
- * <p>It is filled by the builders of this package and not changed any more once it is sent.
+ * <p>The builders of this package fill a batch. After it has been sent, the batch does not change.
  */
 final class TransactionBatch {
-  /** The braces of an object as JSON. */
+  /** Size of the braces of a JSON object, in bytes. */
   private static final int OBJECT_OVERHEAD_BYTES = 2;
 
   private final StateStore stateStore;
@@ -27,11 +27,11 @@
   private final List<KeyMutation> keyMutations = new ArrayList<>();
   private final List<FieldMutation> fieldMutations = new ArrayList<>();
 
-  /** The new fields of packed keys; a key whose fields are empty is deleted. */
+  /** The new fields of packed keys. A key without fields is deleted. */
   private final Map<String, Map<String, Object>> packedValues = new LinkedHashMap<>();
 
-  /** The revisions that the transaction is conditional on, by key; 0 if the key must not exist. */
-  private final Map<String, Long> conditions = new LinkedHashMap<>();
+  /** The revision that each key must have; 0 if the key must not exist. */
+  private final Map<String, Long> preconditions = new LinkedHashMap<>();
 
   private int bytes;
   private boolean awaitingTokens;
@@ -53,7 +53,7 @@
     return fieldMutations;
   }
 
-  /** The new fields of packed keys; empty ones are deleted. */
+  /** Returns the new fields of packed keys. A key without fields is deleted. */
   Map<String, Map<String, Object>> packedValues() {
     return packedValues;
   }
@@ -62,8 +62,8 @@
     return packedValues.keySet();
   }
 
-  Map<String, Long> conditions() {
-    return conditions;
+  Map<String, Long> preconditions() {
+    return preconditions;
   }
 
   int operationCount() {
@@ -74,27 +74,27 @@
     return operationCount() == 0;
   }
 
-  /** About how many bytes its packed values take. */
+  /** Returns the approximate size of the batch's packed values, in bytes. */
   int bytes() {
     return bytes;
   }
 
-  /** Whether it is empty because what should be in it has to wait for write tokens. */
+  /** Returns whether the batch is empty because its changes have to wait for write tokens. */
   boolean awaitsTokens() {
     return awaitingTokens;
   }
 
-  /** It is empty because what should be in it has to wait for write tokens. */
+  /** Records that the batch is empty because its changes have to wait for write tokens. */
   void markAwaitingTokens() {
     awaitingTokens = true;
   }
 
-  /** Whether it changes a packed key. */
+  /** Returns whether the batch changes a packed key. */
   boolean writes(String packedKey) {
     return packedValues.containsKey(packedKey);
   }
 
-  /** All its operations: first the whole keys, then the packed ones, each as they were added. */
+  /** Returns all operations, key mutations before packed keys, each in the order of addition. */
   List<Mutation> operations() {
     List<Mutation> operations = new ArrayList<>(operationCount());
     for (KeyMutation keyMutation : keyMutations) {
@@ -106,57 +106,60 @@
     return operations;
   }
 
-  /** Makes it conditional on a key's present revision. */
+  /** Makes the transaction conditional on a key's current revision. */
   void requireCurrent(String key) {
-    conditions.put(key, stateStore.modRevision(key));
+    preconditions.put(key, stateStore.modRevision(key));
   }
 
-  /** Makes it conditional on a key's given revision. */
+  /** Makes the transaction conditional on a given revision of a key. */
   void require(String key, long revision) {
-    conditions.put(key, revision);
+    preconditions.put(key, revision);
   }
 
-  /** Makes it conditional on a key's given revision, or on an earlier one if it is already. */
+  /** Makes the transaction conditional on the earliest of the revisions given for a key. */
   void requireEarliest(String key, long revision) {
-    conditions.merge(key, revision, Math::min);
+    preconditions.merge(key, revision, Math::min);
   }
 
-  /** Whether it is conditional on one of some keys. */
+  /** Returns whether the transaction is conditional on any of the given keys. */
   boolean requiresAny(Set<String> keys) {
     for (String key : keys) {
-      if (conditions.containsKey(key)) {
+      if (preconditions.containsKey(key)) {
         return true;
       }
     }
     return false;
   }
 
-  /** Adds a change of a whole key with its conditions. */
+  /** Adds a key mutation with its preconditions. */
   void add(KeyMutation mutation) {
     keyMutations.add(mutation);
-    conditions.putAll(mutation.conditions());
+    preconditions.putAll(mutation.preconditions());
   }
 
-  /** Adds a change of a field of a packed key. */
+  /** Adds a field mutation. */
   void add(FieldMutation mutation) {
     put(mutation.key(), mutation.field(), mutation.value());
     fieldMutations.add(mutation);
   }
 
-  /** Adds a slice whose record and claims have been put into it. */
+  /** Adds the snapshot of a slice whose record and claims are already in the batch. */
   void add(SliceSnapshot slice) {
     slices.add(slice);
   }
 
-  /** Changes a field of a packed key, on condition of that key's revision; null removes it. */
+  /**
+   * Sets a field of a packed key; a null value removes the field. The transaction becomes
+   * conditional on the key's current revision.
+   */
   void put(String key, String field, String value) {
     Map<String, Object> fields = packedValues.get(key);
     if (fields == null) {
-      PackedValue present = segments.value(key);
-      fields = present.copyFields();
+      PackedValue current = segments.value(key);
+      fields = current.copyFields();
       packedValues.put(key, fields);
       requireCurrent(key);
-      bytes += present.encodedBytes();
+      bytes += current.encodedBytes();
     }
     if (value == null) {
       fields.remove(field);
@@ -166,19 +169,21 @@
     }
   }
 
-  /** The text of a packed key's field as it will be; null if there will be none. */
+  /**
+   * Returns the value of a packed key's field after the transaction; null if the field is absent.
+   */
   String fieldAfter(String key, String field) {
     Map<String, Object> fields = packedValues.get(key);
     return fields == null ? segments.value(key).get(field) : (String) fields.get(field);
   }
 
-  /** About how many bytes a packed key's value will take. */
+  /** Returns the approximate size of a packed key's value after the transaction, in bytes. */
   int bytesAfter(String key) {
     Map<String, Object> fields = packedValues.get(key);
     return fields == null ? segments.value(key).encodedBytes() : PackedValue.encodedBytes(fields);
   }
 
-  /** The segments whose values would exceed a size. */
+  /** Returns the keys of the segments whose values would exceed a size. */
   List<String> segmentsLargerThan(int maxBytes) {
     List<String> keys = new ArrayList<>();
     for (String key : packedValues.keySet()) {
@@ -190,14 +195,14 @@
     return keys;
   }
 
-  /** Takes out a segment and the slices that rely on it. */
-  void removeSegment(String key, List<SliceSnapshot> relying) {
+  /** Removes a segment and the slices that depend on it. */
+  void removeSegment(String key, List<SliceSnapshot> dependents) {
     packedValues.remove(key);
-    conditions.remove(key);
-    slices.removeAll(relying);
+    preconditions.remove(key);
+    slices.removeAll(dependents);
   }
 
-  /** Takes out all slices and packed values. */
+  /** Removes all slices and packed values. */
   void removeSlices() {
     packedValues.clear();
     slices.clear();
--- a/src/main/java/gladeknot/commit/TransactionCommitter.java
+++ b/src/main/java/gladeknot/commit/TransactionCommitter.java
@@ -8,12 +8,12 @@
 import gladeknot.tracing.TaskTracer;
 
 /**
- * Commits the changes of owned shards: one transaction at a time, each conditional on the revisions
- * of the shards' keys and of every key that it changes or relies on.
+ * Commits the changes of owned shards, one transaction at a time. Each transaction is conditional
+ * on the revisions of the shards' keys and of every key that it changes or depends on.
  *
- * <p>Keys that pack the records of many slices or machines are changed field by field: a
- * transaction takes the newest copy of such a key, changes its fields and is conditional on that
- * copy's revision.
+ * <p>Keys that pack the records of many slices or machines are changed field by field. A
+ * transaction takes the newest cached value of such a key, changes its fields and is conditional on
+ * that value's revision.
  */
 public final class TransactionCommitter {
   private final Membership membership;
@@ -27,7 +27,7 @@
   private final SegmentMigrator migrator;
   private boolean claimsNext;
 
-  /** A committer with nothing to commit. */
+  /** Creates a committer without pending changes. */
   public TransactionCommitter(
       StateStore stateStore,
       Membership membership,
@@ -52,37 +52,41 @@
             stateStore, membership, slices, pending, reloader, limits, state, sliceBatcher, sender);
   }
 
-  /** Sets who hears of each transaction's outcome after it has been applied. */
+  /** Sets the listener that is notified after each transaction's outcome has been applied. */
   public void afterCommit(CommitListener listener) {
     outcomes.setListener(listener);
   }
 
-  /** Sets what decides on starts once more when they are committed. */
+  /** Sets the admission that checks starts again when they are committed. */
   public void useAdmission(StartAdmission admission) {
     state.setAdmission(admission);
   }
 
-  /** A slice's working copy has changed: it is to be committed. */
+  /** Marks a slice, whose working copy has changed, to be committed. */
   public void markDirty(Slice slice) {
     pending.markDirty(slice, state.nowMicros());
   }
 
-  /** Adds a change of a whole key. */
+  /** Adds a key mutation to be committed. */
   public void submit(KeyMutation mutation) {
     pending.submit(mutation);
   }
 
-  /** Adds a change of one field of a packed key. */
+  /** Adds a field mutation to be committed. */
   public void submit(FieldMutation mutation) {
     pending.submit(mutation);
   }
 
-  /** Whether the segment that holds a slice's record is being written. */
+  /** Returns whether the segment that holds a slice's record is being written. */
   public boolean isInFlight(Slice slice) {
     return state.writes(slice.key());
   }
 
-  /** Sends the next transaction if there is one to send; the time is of the steady clock. */
+  /**
+   * Sends the next transaction if there is one.
+   *
+   * @param nowMicros the steady clock, in microseconds
+   */
   public void tick(long nowMicros) {
     state.tick(nowMicros);
     flush();
@@ -93,7 +97,7 @@
     if (!state.ready() || membership.format().isSuperseded()) {
       return;
     }
-    // A slice that was dropped with its job, before its first start was committed, has nothing to
+    // A slice that was dropped with its job before its first start was committed has nothing to
     // commit.
     pending.removeIf(slice -> !slices.contains(slice));
     state.admission().beginBatch();
@@ -111,9 +115,9 @@
   }
 
   /**
-   * Claims and all else take turns. A claim needs two writes at least, and the resources that it
-   * was decided on stay allocated until it is committed: if the others used up the tokens each
-   * time, it would wait for ever.
+   * Builds batches of claims and of other changes alternately. A claim needs at least two writes,
+   * and its resources stay allocated until it is committed. If other changes always used up the
+   * write tokens, a claim would never be committed.
    */
   private TransactionBatch buildNext() {
     TransactionBatch batch = build();
@@ -128,17 +132,23 @@
     return claimsNext ? builder.buildClaims() : builder.buildUpdates();
   }
 
-  /** Takes in what has changed in a segment; one that is being written, once that has ended. */
+  /**
+   * Loads the changed records of a segment. A segment that is being written is loaded after its
+   * transaction has an outcome.
+   */
   public void refreshSegment(String key) {
     reloader.refreshSegment(key);
   }
 
-  /** A shard has been acquired, or its commits of unknown outcome have been settled. */
+  /**
+   * Reloads a shard that has been acquired, or whose transactions of unknown outcome have been
+   * resolved.
+   */
   public void onAcquired(int shard) {
     reloader.onAcquired(shard);
   }
 
-  /** A shard has been released: its slices are what their records say. */
+  /** Drops the changes of a released shard and resets its slices to their stored records. */
   public void onReleased(int shard) {
     reloader.onReleased(shard);
   }
--- a/src/main/java/gladeknot/commit/TransactionSender.java
+++ b/src/main/java/gladeknot/commit/TransactionSender.java
@@ -2,7 +2,7 @@
 
 import gladeknot.state.StateStore;
 
-/** Sends transactions as far as there are write tokens for them. */
+/** Sends transactions when enough write tokens are available. */
 final class TransactionSender {
   private final StateStore stateStore;
   private final CommitState state;
@@ -14,14 +14,14 @@
     this.outcomes = outcomes;
   }
 
-  /** Sends a transaction; returns false, and does nothing, if write tokens are missing. */
+  /** Sends a transaction, or returns false without sending it if write tokens are missing. */
   boolean trySend(TransactionBatch batch) {
     if (!stateStore.tryAcquireWrites(batch.operationCount(), 0)) {
       return false;
     }
     state.begin(batch);
     stateStore.commit(
-        batch.conditions(), batch.operations(), outcome -> outcomes.onOutcome(batch, outcome));
+        batch.preconditions(), batch.operations(), outcome -> outcomes.onOutcome(batch, outcome));
     return true;
   }
 }
--- a/src/test/java/gladeknot/commit/PendingChangesTest.java
+++ b/src/test/java/gladeknot/commit/PendingChangesTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Mutations wait in the order in which they were submitted. */
+/** Tests the order in which submitted, unsent and uncommitted mutations are taken. */
 class PendingChangesTest {
   private final PendingChanges pending = new PendingChanges();
 
@@ -15,7 +15,7 @@
     return new FieldMutation(0, "g/w/vm-00000", field, null, "new", committed -> {});
   }
 
-  private List<String> waiting() {
+  private List<String> takeFields() {
     List<String> fields = new ArrayList<>();
     while (pending.fieldMutationCount() > 0) {
       fields.add(pending.takeFieldMutation().field());
@@ -32,24 +32,24 @@
   }
 
   @Test
-  void firstSubmittedFirstTaken() {
+  void mutationsAreTakenInOrderOfSubmission() {
     assertTrue(pending.isEmpty());
     pending.submit(mutation("1"));
     pending.submit(mutation("2"));
-    assertEquals(List.of("1", "2"), waiting());
+    assertEquals(List.of("1", "2"), takeFields());
   }
 
   @Test
-  void whatWasNotSentComesFirst() {
+  void mutationsOfUnsentBatchAreTakenFirst() {
     pending.submit(mutation("3"));
     pending.putBack(batchOf("1", "2"));
-    assertEquals(List.of("2", "1", "3"), waiting());
+    assertEquals(List.of("2", "1", "3"), takeFields());
   }
 
   @Test
-  void whatWasNotCommittedComesLast() {
+  void mutationsOfUncommittedBatchAreTakenLast() {
     pending.submit(mutation("3"));
     pending.resubmit(batchOf("1", "2"));
-    assertEquals(List.of("3", "1", "2"), waiting());
+    assertEquals(List.of("3", "1", "2"), takeFields());
   }
 }
--- a/src/test/java/gladeknot/commit/TransactionBatchTest.java
+++ b/src/test/java/gladeknot/commit/TransactionBatchTest.java
@@ -22,14 +22,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What a transaction contains after changes were added to it and taken out. */
+/** Tests the contents of a transaction after changes are added and removed. */
 class TransactionBatchTest {
-  private static final String SEGMENT = "g/sl/0/a1";
-  private static final String MACHINES = "g/w/vm-00000";
+  private static final String SEGMENT_KEY = "g/sl/0/a1";
+  private static final String MACHINES_KEY = "g/w/vm-00000";
 
   private final TransactionBatch batch = emptyBatch();
 
-  /** A batch over an empty state store. */
+  /** Creates a batch over an empty state store. */
   static TransactionBatch emptyBatch() {
     StateStore stateStore =
         new StateStore(
@@ -41,78 +41,80 @@
     return new TransactionBatch(stateStore, slices.segments());
   }
 
-  private static SliceSnapshot relyingOn(String... keys) {
+  private static SliceSnapshot snapshotWithKeys(String... keys) {
     return new SliceSnapshot(
         null, keys[0], 0, 0, new BitSet(), List.of(), List.of(), Map.of(), Set.of(keys));
   }
 
   @Test
-  void fieldsOfOneKeyAreOneOperation() {
-    batch.put(SEGMENT, "req-1", "a");
-    batch.put(SEGMENT, "req-2", "b");
+  void fieldsOfOneKeyFormOneOperation() {
+    batch.put(SEGMENT_KEY, "req-1", "a");
+    batch.put(SEGMENT_KEY, "req-2", "b");
     assertEquals(1, batch.operationCount());
     assertEquals(
-        List.of(Mutation.put(SEGMENT, Json.of("req-1", "a", "req-2", "b"))), batch.operations());
-    assertEquals(Map.of(SEGMENT, 0L), batch.conditions());
-    assertEquals("a", batch.fieldAfter(SEGMENT, "req-1"));
-    assertNull(batch.fieldAfter(SEGMENT, "req-3"));
+        List.of(Mutation.put(SEGMENT_KEY, Json.of("req-1", "a", "req-2", "b"))),
+        batch.operations());
+    assertEquals(Map.of(SEGMENT_KEY, 0L), batch.preconditions());
+    assertEquals("a", batch.fieldAfter(SEGMENT_KEY, "req-1"));
+    assertNull(batch.fieldAfter(SEGMENT_KEY, "req-3"));
   }
 
   @Test
-  void aKeyWithoutFieldsIsDeleted() {
-    batch.put(SEGMENT, "req-1", "a");
-    batch.put(SEGMENT, "req-1", null);
-    assertEquals(List.of(Mutation.delete(SEGMENT)), batch.operations());
+  void keyWithoutFieldsIsDeleted() {
+    batch.put(SEGMENT_KEY, "req-1", "a");
+    batch.put(SEGMENT_KEY, "req-1", null);
+    assertEquals(List.of(Mutation.delete(SEGMENT_KEY)), batch.operations());
   }
 
   @Test
-  void wholeKeysComeFirst() {
+  void keyMutationsPrecedePackedKeys() {
     Mutation mutation = Mutation.put("g/q/red", Json.of("c", 1L));
-    batch.put(SEGMENT, "req-1", "a");
+    batch.put(SEGMENT_KEY, "req-1", "a");
     batch.add(new KeyMutation(0, mutation, Map.of("g/q/red", 4L), committed -> {}));
     List<String> keys = new ArrayList<>();
     batch.operations().forEach(operation -> keys.add(operation.key()));
-    assertEquals(List.of("g/q/red", SEGMENT), keys);
-    assertEquals(4L, batch.conditions().get("g/q/red"));
+    assertEquals(List.of("g/q/red", SEGMENT_KEY), keys);
+    assertEquals(4L, batch.preconditions().get("g/q/red"));
     assertTrue(batch.requiresAny(Set.of("g/q/red", "g/q/blue")));
     assertFalse(batch.requiresAny(Set.of("g/q/blue")));
   }
 
   @Test
-  void theEarliestOfSomeRevisionsCounts() {
+  void earliestRequiredRevisionIsKept() {
     batch.requireEarliest("g/care/0", 5);
     batch.requireEarliest("g/care/0", 3);
     batch.requireEarliest("g/care/0", 4);
-    assertEquals(Map.of("g/care/0", 3L), batch.conditions());
+    assertEquals(Map.of("g/care/0", 3L), batch.preconditions());
   }
 
-  /** A segment's braces count; keys of machines are never taken for too large. */
+  /** The braces of a segment's JSON object count; keys of machines are never reported. */
   @Test
-  void segmentsAreTooLargeFromOneByteMore() {
-    batch.put(SEGMENT, "req-1", "x".repeat(100));
-    batch.put(MACHINES, "1", "x".repeat(1000));
-    int bytes = batch.bytesAfter(SEGMENT) + 2;
+  void onlySegmentsAboveSizeAreReported() {
+    batch.put(SEGMENT_KEY, "req-1", "x".repeat(100));
+    batch.put(MACHINES_KEY, "1", "x".repeat(1000));
+    int bytes = batch.bytesAfter(SEGMENT_KEY) + 2;
     assertEquals(List.of(), batch.segmentsLargerThan(bytes));
-    assertEquals(List.of(SEGMENT), batch.segmentsLargerThan(bytes - 1));
+    assertEquals(List.of(SEGMENT_KEY), batch.segmentsLargerThan(bytes - 1));
   }
 
   @Test
-  void aSegmentIsTakenOutWithItsSlices() {
-    SliceSnapshot first = relyingOn(SEGMENT, "g/sh/0");
-    SliceSnapshot second = relyingOn("g/sl/0/a2", "g/sh/0");
-    batch.put(SEGMENT, "req-1", "a");
+  void removedSegmentTakesItsSlicesAndPrecondition() {
+    SliceSnapshot first = snapshotWithKeys(SEGMENT_KEY, "g/sh/0");
+    SliceSnapshot second = snapshotWithKeys("g/sl/0/a2", "g/sh/0");
+    batch.put(SEGMENT_KEY, "req-1", "a");
     batch.put("g/sl/0/a2", "req-2", "b");
     batch.add(first);
     batch.add(second);
-    batch.removeSegment(SEGMENT, List.of(first));
+    batch.removeSegment(SEGMENT_KEY, List.of(first));
     assertEquals(List.of(second), batch.slices());
     assertEquals(Set.of("g/sl/0/a2"), new HashSet<>(batch.packedKeys()));
-    assertEquals(Set.of("g/sl/0/a2"), batch.conditions().keySet());
+    assertEquals(Set.of("g/sl/0/a2"), batch.preconditions().keySet());
   }
 
   @Test
-  void conflictsConcernWhoReliesOnAKey() {
-    assertTrue(relyingOn(SEGMENT, "g/sh/0").reliesOnAny(List.of("g/j/req-1", "g/sh/0")));
-    assertFalse(relyingOn(SEGMENT, "g/sh/0").reliesOnAny(List.of("g/sh/1")));
+  void snapshotDependsOnlyOnItsKeys() {
+    assertTrue(
+        snapshotWithKeys(SEGMENT_KEY, "g/sh/0").dependsOnAny(List.of("g/j/req-1", "g/sh/0")));
+    assertFalse(snapshotWithKeys(SEGMENT_KEY, "g/sh/0").dependsOnAny(List.of("g/sh/1")));
   }
 }
