--- a/src/main/java/gladeknot/lifecycle/AttemptTracker.java
+++ b/src/main/java/gladeknot/lifecycle/AttemptTracker.java
@@ -16,25 +16,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What happens to single attempts: a phase that a heartbeat lists, a kill, a reported end, a loss.
- * An attempt that has ended stays in its slice until the end is committed.
+ * Updates single attempts after observed phases, kills, reported ends and losses. An attempt that
+ * has ended stays in its slice until the end is committed.
  */
 final class AttemptTracker {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptTracker.class);
 
-  /** No start on a worker that has refused one. */
-  private static final long REFUSED_QUARANTINE_MICROS = 2_000_000;
+  /** Quarantine of a worker that has refused a start, in microseconds. */
+  private static final long REFUSED_START_QUARANTINE_MICROS = 2_000_000;
 
-  /** No start of a task that a worker does not know: the job may not be submitted to it yet. */
+  /**
+   * Backoff of a slice after a worker did not know its task, in microseconds. The job may not have
+   * been submitted to the worker yet.
+   */
   private static final long UNKNOWN_TASK_BACKOFF_MICROS = 3_000_000;
 
-  /** The back-off of a slice doubles with each failure in a row, from the first on. */
+  /**
+   * Base of a slice's backoff after a failure, in microseconds. It doubles with each consecutive
+   * failure, including the first.
+   */
   private static final long SLICE_BACKOFF_MICROS = 500_000;
 
   private static final int MAX_SLICE_DOUBLINGS = 7;
   private static final long MAX_SLICE_BACKOFF_MICROS = 60_000_000;
 
-  /** The quarantine of a worker doubles likewise. */
+  /**
+   * Base of a worker's quarantine after a failure, in microseconds. It doubles with each failure
+   * that {@link Worker#countFailure} counts, including the first.
+   */
   private static final long WORKER_QUARANTINE_MICROS = 1_000_000;
 
   private static final long MAX_WORKER_QUARANTINE_MICROS = 30_000_000;
@@ -76,7 +85,7 @@
     return nowMicros;
   }
 
-  /** Kills an attempt, by direct commands and again with the answer to each heartbeat. */
+  /** Kills an attempt, both by direct commands and with the answer to each heartbeat. */
   void kill(Attempt attempt, double graceSeconds) {
     if (attempt.requestKill(graceSeconds, nowMicros)) {
       tracer.killed(attempt.traceId());
@@ -97,21 +106,21 @@
     kill(attempt, 0);
   }
 
-  /** The answer to a heartbeat is to carry an attempt's run command. */
-  void runSent(Attempt attempt, Heartbeat heartbeat) {
+  /** Records that the answer to a heartbeat carries an attempt's run command. */
+  void recordRunSent(Attempt attempt, Heartbeat heartbeat) {
     attempt.markRunSent(heartbeat.incarnation(), heartbeat.sequence());
     tracer.runSent(attempt.traceId());
   }
 
-  /** A heartbeat lists an attempt that has not exited. */
-  void observed(Worker worker, Attempt attempt, Heartbeat.TaskStatus status) {
-    Attempt.ObservedPhase before = attempt.observedPhase();
-    if (before == Attempt.ObservedPhase.NOT_OBSERVED && attempt.runSentIncarnation() != 0) {
+  /** Handles an attempt that a heartbeat lists as not exited. */
+  void onObserved(Worker worker, Attempt attempt, Heartbeat.TaskStatus status) {
+    Attempt.ObservedPhase previous = attempt.observedPhase();
+    if (previous == Attempt.ObservedPhase.NOT_OBSERVED && attempt.runSentIncarnation() != 0) {
       worker.markReachable();
     }
     Attempt.ObservedPhase phase = observedPhase(status.phase());
     attempt.observe(phase, nowMicros);
-    if (phase != before) {
+    if (phase != previous) {
       tracer.phaseObserved(attempt.traceId(), status.phaseText());
     }
     Job job = jobs.active(attempt.slice().job());
@@ -130,8 +139,8 @@
     };
   }
 
-  /** A heartbeat lists an attempt as exited. */
-  void ended(Worker worker, Attempt attempt, Heartbeat.TaskStatus status) {
+  /** Handles an attempt that a heartbeat lists as exited. */
+  void onEnded(Worker worker, Attempt attempt, Heartbeat.TaskStatus status) {
     LOG.info(
         "attempt ended attempt={}#{} host={} cause={}",
         attempt.name(),
@@ -141,17 +150,17 @@
     tracer.ended(attempt.traceId(), status.causeText());
     Slice slice = attempt.slice();
     switch (status.cause()) {
-      case SUCCEEDED -> succeeded(worker, attempt);
-      case FAILED -> failed(worker, slice);
+      case SUCCEEDED -> onSucceeded(worker, attempt);
+      case FAILED -> onFailed(worker, slice);
       case INSUFFICIENT_RESOURCES, TASK_ALREADY_PRESENT ->
-          worker.quarantineUntil(nowMicros + REFUSED_QUARANTINE_MICROS);
+          worker.quarantineUntil(nowMicros + REFUSED_START_QUARANTINE_MICROS);
       case UNKNOWN_TASK -> slice.backOffUntil(nowMicros + UNKNOWN_TASK_BACKOFF_MICROS);
       case OTHER -> {}
     }
     close(attempt);
   }
 
-  private void succeeded(Worker worker, Attempt attempt) {
+  private void onSucceeded(Worker worker, Attempt attempt) {
     Slice slice = attempt.slice();
     attempt.markSucceeded();
     Job job = jobs.active(slice.job());
@@ -163,7 +172,7 @@
     worker.resetFailures();
   }
 
-  private void failed(Worker worker, Slice slice) {
+  private void onFailed(Worker worker, Slice slice) {
     int doublings = Math.min(MAX_SLICE_DOUBLINGS, slice.countFailure());
     slice.backOffUntil(
         nowMicros + Math.min(MAX_SLICE_BACKOFF_MICROS, SLICE_BACKOFF_MICROS << doublings));
@@ -173,8 +182,8 @@
             + Math.min(MAX_WORKER_QUARANTINE_MICROS, WORKER_QUARANTINE_MICROS << workerFailures));
   }
 
-  /** An attempt is provably no longer on its worker, and its end was not reported. */
-  void lost(Attempt attempt, LossReason reason) {
+  /** Handles an attempt that is provably no longer on its worker and whose end was not reported. */
+  void onLost(Attempt attempt, LossReason reason) {
     LOG.info(
         "attempt lost attempt={}#{} host={} reason={}",
         attempt.name(),
@@ -197,7 +206,7 @@
     scheduling.request();
   }
 
-  /** A gang that has lost a task makes no progress: all of it has to start again. */
+  /** Kills the rest of a gang that has lost a task: it makes no progress and must start again. */
   private void killGang(Slice slice) {
     for (Attempt member : slice.attemptsByTask().values()) {
       if (!member.closed() && !member.killRequested()) {
--- a/src/main/java/gladeknot/lifecycle/FinishedJobs.java
+++ b/src/main/java/gladeknot/lifecycle/FinishedJobs.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Stops what is left of jobs that are done or cancelled. */
+/** Stops the remaining attempts of jobs that are done or cancelled. */
 final class FinishedJobs {
   private final Membership membership;
   private final JobRegistry jobs;
@@ -33,11 +33,11 @@
   }
 
   /**
-   * Stops the attempts of a job whose final state is committed, and removes starts not committed.
+   * Stops the attempts of a job whose final state is committed, and removes its uncommitted starts.
    */
   void stop(String job) {
     for (Slice slice : slices.ofJob(job)) {
-      if (owned(slice)) {
+      if (isOwned(slice)) {
         stop(slice);
         committer.markDirty(slice);
       }
@@ -55,12 +55,12 @@
   }
 
   /**
-   * Stops the attempts of a job whose cancellation another controller has committed, and which the
-   * cached state may still show as active.
+   * Stops the attempts of a job whose cancellation another controller has committed. The cache may
+   * still show the job as active.
    */
   void stopCancelledElsewhere(String job) {
     for (Slice slice : slices.ofJob(job)) {
-      if (owned(slice)) {
+      if (isOwned(slice)) {
         stopCommitted(slice);
       }
     }
@@ -74,7 +74,9 @@
     }
   }
 
-  /** Kills for what a heartbeat lists of jobs that are finished by the cached state. */
+  /**
+   * Returns kill commands for a heartbeat's tasks whose jobs are finished according to the cache.
+   */
   List<WorkerCommand> kills(Heartbeat heartbeat) {
     List<WorkerCommand> kills = new ArrayList<>();
     for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
@@ -85,7 +87,7 @@
     return kills;
   }
 
-  private boolean owned(Slice slice) {
+  private boolean isOwned(Slice slice) {
     return membership.ownedShards().contains(slice.shard());
   }
 }
--- a/src/main/java/gladeknot/lifecycle/HeartbeatReconciler.java
+++ b/src/main/java/gladeknot/lifecycle/HeartbeatReconciler.java
@@ -14,20 +14,23 @@
 import java.util.Set;
 
 /**
- * Brings what a worker's heartbeat lists together with the attempts that records assign to the
+ * Reconciles the tasks that a worker's heartbeat lists with the attempts that records assign to the
  * worker, and decides which commands the answer carries.
  */
 final class HeartbeatReconciler {
-  /** Beyond a lease, how long an incarnation may last without an answer that arrived. */
+  /**
+   * Margin added to a worker's lease, in microseconds. An incarnation that lasts longer than both
+   * has received an answer.
+   */
   private static final long LEASE_MARGIN_MICROS = 3_000_000;
 
-  /** After so many run commands that did not arrive, a task is started on another worker. */
+  /** Number of unacknowledged run commands after which a task is started on another worker. */
   private static final int MAX_UNACKNOWLEDGED_RUNS = 2;
 
   private final Membership membership;
   private final JobRegistry jobs;
   private final AttemptTracker attempts;
-  private final long reachabilityMicros;
+  private final long maxUnansweredMicros;
   private RestartLimit restartLimit = RestartLimit.NONE;
 
   HeartbeatReconciler(
@@ -35,48 +38,52 @@
     this.membership = membership;
     this.jobs = jobs;
     this.attempts = attempts;
-    this.reachabilityMicros = settings.workers().leaseMicros() + LEASE_MARGIN_MICROS;
+    this.maxUnansweredMicros = settings.workers().leaseMicros() + LEASE_MARGIN_MICROS;
   }
 
   void setRestartLimit(RestartLimit limit) {
     restartLimit = limit;
   }
 
-  /** The commands for a worker: purges, then kills, then runs, each in the order of the lists. */
+  /**
+   * Returns the commands for a worker: purges, then kills, then runs. Commands of one kind are in
+   * the order of the heartbeat's list and of the worker's attempts.
+   */
   List<WorkerCommand> reconcile(Worker worker, Heartbeat heartbeat) {
-    Pass pass = new Pass(worker, heartbeat);
-    worker.updateReachability(attempts.nowMicros(), reachabilityMicros);
+    Reconciliation reconciliation = new Reconciliation(worker, heartbeat);
+    worker.updateReachability(attempts.nowMicros(), maxUnansweredMicros);
     for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
-      pass.reconcileListed(status);
+      reconciliation.reconcileListed(status);
     }
     for (Attempt attempt : List.copyOf(worker.attempts().values())) {
-      pass.reconcileUnlisted(attempt);
+      reconciliation.reconcileUnlisted(attempt);
     }
-    return pass.commands();
+    return reconciliation.commands();
   }
 
-  /** What one heartbeat leads to. */
-  private final class Pass {
+  /** The reconciliation of one heartbeat. */
+  private final class Reconciliation {
     private final Worker worker;
     private final Heartbeat heartbeat;
     private final int shard;
 
     /**
-     * Whether the heartbeat was sent under this controller's term. One from before may have been
-     * delayed: what it lists as ended has ended, but what it leaves out may have started since.
+     * True if the heartbeat was sent under this controller's term. A heartbeat of an earlier term
+     * may have been delayed: an attempt that it lists as ended has ended, but an attempt that it
+     * doesn't list may have started since.
      */
-    private final boolean ofThisTerm;
+    private final boolean ofCurrentTerm;
 
     private final Set<String> listed = new HashSet<>();
     private final List<WorkerCommand> purges = new ArrayList<>();
     private final List<WorkerCommand> kills = new ArrayList<>();
     private final List<WorkerCommand> runs = new ArrayList<>();
 
-    Pass(Worker worker, Heartbeat heartbeat) {
+    Reconciliation(Worker worker, Heartbeat heartbeat) {
       this.worker = worker;
       this.heartbeat = heartbeat;
       this.shard = worker.shard();
-      this.ofThisTerm = heartbeat.fencingToken() >= membership.term(shard);
+      this.ofCurrentTerm = heartbeat.fencingToken() >= membership.term(shard);
     }
 
     void reconcileListed(Heartbeat.TaskStatus status) {
@@ -93,9 +100,9 @@
       if (attempt.closed()) {
         killIfNotEnded(status);
       } else if (status.ended()) {
-        attempts.ended(worker, attempt, status);
+        attempts.onEnded(worker, attempt, status);
       } else {
-        attempts.observed(worker, attempt, status);
+        attempts.onObserved(worker, attempt, status);
         reconcileLive(attempt);
       }
     }
@@ -108,7 +115,7 @@
       }
     }
 
-    /** An attempt that counts as lost, with its end not committed, must not run on meanwhile. */
+    /** Kills a closed attempt that still runs: it must not run on until its end is committed. */
     private void killIfNotEnded(Heartbeat.TaskStatus status) {
       if (!status.ended()) {
         kills.add(WorkerCommand.Kill.immediately(status.name(), status.attempt()));
@@ -117,7 +124,7 @@
 
     private void reconcileLive(Attempt attempt) {
       if (!attempt.killRequested() && jobs.active(attempt.slice().job()) == null) {
-        // Its job was cancelled while the shard had no owner, or another.
+        // The job was cancelled while the shard had no owner or another owner.
         attempts.killForFinishedJob(attempt);
       }
       if (attempt.killRequested()) {
@@ -138,30 +145,36 @@
       }
       if (attempt.runSentIncarnation() != 0
           && heartbeat.isNewerThan(attempt.runSentIncarnation(), attempt.runSentSequence())) {
-        // The answer with the run command was processed before this heartbeat, or never will be.
+        // The worker processed the answer with the run command before this heartbeat, or never
+        // will.
         attempt.countUnacknowledgedRun();
       }
-      boolean wanted = !attempt.killRequested() && jobs.active(attempt.slice().job()) != null;
-      if (attempt.observedPhase() != Attempt.ObservedPhase.NOT_OBSERVED || !wanted) {
-        if (ofThisTerm || !attempt.runSent()) {
-          attempts.lost(attempt, LossReason.NOT_REPORTED);
+      boolean shouldRun = !attempt.killRequested() && jobs.active(attempt.slice().job()) != null;
+      if (attempt.observedPhase() != Attempt.ObservedPhase.NOT_OBSERVED || !shouldRun) {
+        if (ofCurrentTerm || !attempt.runSent()) {
+          attempts.onLost(attempt, LossReason.NOT_REPORTED);
         }
-      } else if (attempt.unacknowledgedRuns() >= MAX_UNACKNOWLEDGED_RUNS && ofThisTerm) {
-        // Heartbeats arrive here, but answers don't arrive there: it must not wait for ever.
+      } else if (attempt.unacknowledgedRuns() >= MAX_UNACKNOWLEDGED_RUNS && ofCurrentTerm) {
+        // The worker's heartbeats arrive, but answers don't reach it. The task must not wait
+        // forever.
         worker.markUnreachable(attempts.nowMicros());
-        attempts.lost(attempt, LossReason.RUN_UNACKNOWLEDGED);
+        attempts.onLost(attempt, LossReason.RUN_UNACKNOWLEDGED);
       } else if (isWithheld(attempt)) {
-        if (ofThisTerm) {
-          // No earlier run command reaches the worker any more, and none was sent in this term.
-          attempts.lost(attempt, LossReason.SHARE_EXCEEDED);
+        if (ofCurrentTerm) {
+          // An earlier term's run command can't reach the worker, and this term has sent none.
+          attempts.onLost(attempt, LossReason.SHARE_EXCEEDED);
         }
       } else if (membership.permits(ControlAction.SEND_RUN, shard)) {
-        attempts.runSent(attempt, heartbeat);
+        attempts.recordRunSent(attempt, heartbeat);
         runs.add(new WorkerCommand.Run(attempt.name(), attempt.number()));
       }
     }
 
-    /** Whether a start of a former owner, not repeated yet, would exceed the shard's share. */
+    /**
+     * Returns whether an attempt's run command is withheld because the shard's share is exceeded.
+     * This applies to starts that a former owner committed and whose run command this controller
+     * has not sent.
+     */
     private boolean isWithheld(Attempt attempt) {
       return attempt.recovered()
           && attempt.runSentIncarnation() == 0
--- a/src/main/java/gladeknot/lifecycle/ImageCacheSizes.java
+++ b/src/main/java/gladeknot/lifecycle/ImageCacheSizes.java
@@ -1,7 +1,7 @@
 package gladeknot.lifecycle;
 
-/** How much space machines have for images. */
+/** Provides the image cache sizes of machine types. */
 public interface ImageCacheSizes {
-  /** The size of the image cache on a type of machine in GB; 0 if the type is not known. */
+  /** Returns the image cache size of a machine type in GB; 0 if the type is not known. */
   double cacheGb(String machineType);
 }
--- a/src/main/java/gladeknot/lifecycle/JobCompletion.java
+++ b/src/main/java/gladeknot/lifecycle/JobCompletion.java
@@ -43,7 +43,7 @@
   }
 
   /**
-   * Finishes jobs whose every task is done in committed records, and dependents of cancelled ones.
+   * Finishes jobs whose tasks are all done in committed records, and dependents of cancelled jobs.
    */
   void check(long wallMicros) {
     for (Job job : List.copyOf(jobs.active())) {
@@ -61,12 +61,12 @@
     }
   }
 
-  /** A job is no longer active: nothing is left to be committed for it. */
+  /** Handles a job that is no longer active: its final state needs no further commit. */
   void onFinished(String job) {
     finishing.remove(job);
   }
 
-  /** How far a job has come, for display. */
+  /** Returns a job's completed and running task counts, for display. */
   TaskCounts taskCounts(Job job) {
     int running = 0;
     for (Slice slice : slices.ofJob(job.id())) {
@@ -95,7 +95,7 @@
             }));
   }
 
-  /** The tasks that are done by committed records: each counts once, whichever slices have it. */
+  /** Returns the tasks done in committed records. A task listed by several slices counts once. */
   private BitSet committedDone(Job job) {
     BitSet done = new BitSet();
     slices.ofJob(job.id()).forEach(slice -> done.or(slice.committedDone()));
--- a/src/main/java/gladeknot/lifecycle/KillDispatcher.java
+++ b/src/main/java/gladeknot/lifecycle/KillDispatcher.java
@@ -18,33 +18,33 @@
 import java.util.Set;
 
 /**
- * Sends kills to workers directly, repeated until one is acknowledged: a worker whose heartbeats
- * don't arrive, or that can't be reached when the end of its task is decided, gets the kill as soon
- * as possible. Each kill is also part of the answers to the worker's heartbeats; direct commands
- * are faster, and prove nothing.
+ * Sends kill commands directly to workers and repeats each until one is acknowledged. A worker
+ * whose heartbeats don't arrive, or that is unreachable when the kill is decided, thus gets the
+ * kill as soon as possible. Each kill is also part of the answers to the worker's heartbeats.
+ * Direct commands are faster, but prove nothing about the end of an attempt.
  */
 final class KillDispatcher {
   private static final long CALL_TIMEOUT_MICROS = 3_000_000;
 
-  /** Between two calls to one worker. */
+  /** Interval between two calls to one worker, in microseconds. */
   private static final long RETRY_INTERVAL_MICROS = 2_000_000;
 
   /**
-   * Calls open at a time: unreachable machines must not use up the sockets. The others wait for a
-   * second or two, and get their kills with the answers to their heartbeats too.
+   * Maximum number of open calls, so that unreachable machines don't use up the sockets. Further
+   * kills wait for a second or two; they are also part of the answers to heartbeats.
    */
   private static final int MAX_OPEN_CALLS = 40;
 
-  private static final int OK = 200;
-  private static final int CONFLICT = 409;
+  private static final int HTTP_OK = 200;
+  private static final int HTTP_CONFLICT = 409;
 
-  /** The kills that wait for one worker. */
+  /** The pending kills of one worker. */
   private static final class PendingKills {
     private final Set<Attempt> attempts = new LinkedHashSet<>();
     private long nextCallMicros;
     private boolean callOpen;
 
-    /** The newest incarnation that is known of the worker; 0 if none is. */
+    /** Newest known incarnation of the worker; 0 if none is known. */
     private long incarnation;
 
     void add(Attempt attempt, long nowMicros) {
@@ -53,14 +53,14 @@
       }
     }
 
-    boolean due(long nowMicros) {
+    boolean isDue(long nowMicros) {
       return !callOpen && nowMicros >= nextCallMicros;
     }
 
-    /** Records the incarnation that the worker names; if it is new, it may be called at once. */
-    void learnIncarnation(long newest, long nowMicros) {
-      if (newest > incarnation) {
-        incarnation = newest;
+    /** Records the incarnation that the worker reports. A new incarnation is called at once. */
+    void learnIncarnation(long reported, long nowMicros) {
+      if (reported > incarnation) {
+        incarnation = reported;
         nextCallMicros = nowMicros;
       }
     }
@@ -70,7 +70,7 @@
   private final WorkerRegistry workers;
   private final Outbox outbox;
 
-  /** By host, in the order of the first kill. */
+  /** Pending kills by host, in the order of each host's first kill. */
   private final Map<String, PendingKills> pendingByHost = new LinkedHashMap<>();
 
   private int openCalls;
@@ -82,14 +82,14 @@
     this.outbox = outbox;
   }
 
-  /** Adds a kill, to be sent with the next tick if possible. */
+  /** Adds a kill, which is sent at the next tick if possible. */
   void add(Attempt attempt) {
     pendingByHost
         .computeIfAbsent(attempt.host(), host -> new PendingKills())
         .add(attempt, nowMicros);
   }
 
-  /** Sends what is due, and drops kills that are no longer wanted. */
+  /** Sends the kills that are due, and drops those that are no longer needed. */
   void tick(long now) {
     nowMicros = now;
     if (pendingByHost.isEmpty()) {
@@ -97,10 +97,10 @@
     }
     for (Map.Entry<String, PendingKills> entry : List.copyOf(pendingByHost.entrySet())) {
       PendingKills pending = entry.getValue();
-      if (!pending.due(now)) {
+      if (!pending.isDue(now)) {
         continue;
       }
-      pending.attempts.removeIf(attempt -> !wanted(attempt));
+      pending.attempts.removeIf(attempt -> !isStillNeeded(attempt));
       if (pending.attempts.isEmpty()) {
         pendingByHost.remove(entry.getKey());
       } else if (openCalls < MAX_OPEN_CALLS) {
@@ -109,8 +109,8 @@
     }
   }
 
-  /** Whether an attempt still runs, as far as is known, and belongs to an owned shard. */
-  private boolean wanted(Attempt attempt) {
+  /** Returns whether an attempt is not known to have ended and belongs to an owned shard. */
+  private boolean isStillNeeded(Attempt attempt) {
     return !attempt.closed()
         && attempt.killRequested()
         && membership.ownedShards().contains(attempt.slice().shard());
@@ -137,7 +137,7 @@
 
   private void sendKills(String endpoint, PendingKills pending) {
     List<WorkerCommand> kills = new ArrayList<>();
-    List<Attempt> carried = new ArrayList<>();
+    List<Attempt> sentAttempts = new ArrayList<>();
     long term = -1;
     for (Attempt attempt : pending.attempts) {
       int shard = attempt.slice().shard();
@@ -148,34 +148,35 @@
       kills.add(
           new WorkerCommand.Kill(
               attempt.name(), attempt.number(), attempt.remainingGraceSeconds(nowMicros)));
-      carried.add(attempt);
+      sentAttempts.add(attempt);
     }
     if (kills.isEmpty()) {
       return;
     }
     Map<String, Object> body = CommandCodec.directCommands(term, pending.incarnation, kills);
-    call(endpoint, "POST", "/orders", body, pending, reply -> onReply(reply, pending, carried));
+    call(
+        endpoint, "POST", "/orders", body, pending, reply -> onReply(reply, pending, sentAttempts));
   }
 
   /**
-   * Whether a kill may be sent now. Only the end of a task of a finished job is sure to be wanted,
-   * whoever acts for the shard.
+   * Returns whether a kill may be sent now. The kill of a finished job's task is right whichever
+   * controller owns the shard; other kills require authority over the shard.
    */
   private boolean mayKill(Attempt attempt, int shard) {
     return membership.permits(
         attempt.jobFinished() ? ControlAction.KILL_CANCELLED : ControlAction.KILL, shard);
   }
 
-  private void onReply(Outbox.Reply reply, PendingKills pending, List<Attempt> carried) {
-    if (reply.status() == OK) {
-      carried.forEach(pending.attempts::remove);
+  private void onReply(Outbox.Reply reply, PendingKills pending, List<Attempt> sentAttempts) {
+    if (reply.status() == HTTP_OK) {
+      sentAttempts.forEach(pending.attempts::remove);
     } else {
       learnIncarnation(reply, pending);
     }
   }
 
   private void learnIncarnation(Outbox.Reply reply, PendingKills pending) {
-    if (reply.status() == OK || reply.status() == CONFLICT) {
+    if (reply.status() == HTTP_OK || reply.status() == HTTP_CONFLICT) {
       pending.learnIncarnation(HeartbeatCodec.incarnation(reply.object()), nowMicros);
     }
   }
--- a/src/main/java/gladeknot/lifecycle/LeaseExpiry.java
+++ b/src/main/java/gladeknot/lifecycle/LeaseExpiry.java
@@ -8,7 +8,10 @@
 import gladeknot.workers.WorkerRegistry;
 import java.util.List;
 
-/** Finds attempts whose worker's lease has surely expired: the worker has killed them itself. */
+/**
+ * Finds attempts whose worker's lease has provably expired, so that the worker itself has killed
+ * them.
+ */
 final class LeaseExpiry {
   private final Membership membership;
   private final SliceRegistry slices;
@@ -26,34 +29,39 @@
     this.attempts = attempts;
   }
 
-  /** Closes the attempts of an owned shard that are gone with their leases or machines. */
+  /**
+   * Closes the attempts of an owned shard whose leases have expired or whose machines were
+   * released.
+   */
   void check(int shard) {
-    // Whoever renewed the leases before, they count from the acquisition and the delegation on.
-    long renewedMicros =
+    // Other controllers may have renewed leases until the shard was acquired and until the latest
+    // delegation ended, so leases count from the later of both times.
+    long shardRenewedMicros =
         Math.max(membership.ownedSinceMicros(shard), membership.delegatedUntilMicros(shard));
     long expiredAfterMicros = membership.times().expiredAfterMicros();
     for (Slice slice : List.copyOf(slices.inShard(shard))) {
       for (Attempt attempt : List.copyOf(slice.attemptsByTask().values())) {
         if (!attempt.closed() && attempt.committed()) {
-          check(attempt, shard, renewedMicros, expiredAfterMicros);
+          check(attempt, shard, shardRenewedMicros, expiredAfterMicros);
         }
       }
     }
   }
 
-  private void check(Attempt attempt, int shard, long renewedMicros, long expiredAfterMicros) {
+  private void check(Attempt attempt, int shard, long shardRenewedMicros, long expiredAfterMicros) {
     Worker worker = workers.get(attempt.host());
     if (worker == null || !worker.registered()) {
-      // The record is deleted only after the cloud has confirmed the release.
-      attempts.lost(attempt, LossReason.WORKER_RELEASED);
+      // The machine's record is deleted only after the cloud has confirmed the release.
+      attempts.onLost(attempt, LossReason.WORKER_RELEASED);
       return;
     }
-    // An attempt younger than a lease can't have expired: on a new machine, whose first heartbeat
-    // waits for its answer, nothing has been answered yet.
-    long ownRenewedMicros = Math.max(worker.answeredMicros(), attempt.decidedMicros());
-    if (attempts.nowMicros() - Math.max(ownRenewedMicros, renewedMicros) > expiredAfterMicros) {
+    // The lease counts from the start of the attempt at the earliest: a new machine whose first
+    // heartbeat waits for its answer has not been answered yet.
+    long workerRenewedMicros = Math.max(worker.answeredMicros(), attempt.decidedMicros());
+    if (attempts.nowMicros() - Math.max(workerRenewedMicros, shardRenewedMicros)
+        > expiredAfterMicros) {
       attempt.expireLease(membership.delegationRevision(shard));
-      attempts.lost(attempt, LossReason.LEASE_EXPIRED);
+      attempts.onLost(attempt, LossReason.LEASE_EXPIRED);
     }
   }
 }
--- a/src/main/java/gladeknot/lifecycle/LossReason.java
+++ b/src/main/java/gladeknot/lifecycle/LossReason.java
@@ -1,18 +1,18 @@
 package gladeknot.lifecycle;
 
-/** Why an attempt is known to be gone although its end was not reported. */
+/** The reason why an attempt is known to be gone although its end was not reported. */
 enum LossReason {
-  /** The worker's heartbeats have ceased to list it. */
+  /** The worker's heartbeats no longer list the attempt. */
   NOT_REPORTED("no longer reported", "not_reported"),
-  /** The worker sends heartbeats, but the answers with its run command did not arrive. */
+  /** The worker sends heartbeats, but answers with the attempt's run command did not arrive. */
   RUN_UNACKNOWLEDGED("never taken up", "run_unacknowledged"),
-  /** The machine has restarted without it. */
+  /** The machine has restarted without the attempt. */
   WORKER_RESTARTED("machine begun anew", "worker_restarted"),
   /** The cloud has confirmed the release of the machine. */
   WORKER_RELEASED("machine released", "worker_released"),
-  /** A former owner committed its start beyond the share, and its worker does not have it. */
+  /** A former owner committed the start beyond the share; the worker doesn't have the attempt. */
   SHARE_EXCEEDED("beyond the quota", "share_exceeded"),
-  /** The worker's lease has surely expired. */
+  /** The worker's lease has provably expired. */
   LEASE_EXPIRED("lease lapsed", "lease_expired");
 
   private final String traceText;
@@ -23,12 +23,12 @@
     this.logWord = logWord;
   }
 
-  /** The cause of the end in traces, which are read by tools. */
+  /** Returns the cause of the end as written to traces, which tools read. */
   String traceText() {
     return traceText;
   }
 
-  /** The reason in log lines. */
+  /** Returns the reason as written to log lines. */
   @Override
   public String toString() {
     return logWord;
--- a/src/main/java/gladeknot/lifecycle/SchedulingRequests.java
+++ b/src/main/java/gladeknot/lifecycle/SchedulingRequests.java
@@ -1,6 +1,6 @@
 package gladeknot.lifecycle;
 
-/** Whether something has happened since the last scheduling round that may let tasks be placed. */
+/** Records whether a change since the last scheduling round may allow tasks to be placed. */
 final class SchedulingRequests {
   private boolean requested;
 
@@ -13,10 +13,10 @@
     return requested;
   }
 
-  /** Returns whether a round was requested, and takes the request back. */
+  /** Returns whether a round is requested, and clears the request. */
   boolean take() {
-    boolean was = requested;
+    boolean wasRequested = requested;
     requested = false;
-    return was;
+    return wasRequested;
   }
 }
--- a/src/main/java/gladeknot/lifecycle/SliceMonitor.java
+++ b/src/main/java/gladeknot/lifecycle/SliceMonitor.java
@@ -10,19 +10,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asserts while the controller runs that each task of an active job belongs to one slice, and each
- * slice to one record. A violation is logged once, with all figures, and counted; nothing of the
- * job is started here while it lasts.
+ * Checks at run time the invariant that each task of an active job belongs to one slice and each
+ * slice to one record. A violation is logged once, with all figures, and counted. While a violation
+ * lasts, this controller starts no tasks of the job.
  */
 final class SliceMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(SliceMonitor.class);
-  private static final long INTERVAL_MICROS = 500_000;
+  private static final long CHECK_INTERVAL_MICROS = 500_000;
 
   private final Membership membership;
   private final JobRegistry jobs;
   private final SliceRegistry slices;
-  private final Set<String> violated = new HashSet<>();
-  private long nextMicros;
+  private final Set<String> violatingJobs = new HashSet<>();
+  private long nextCheckMicros;
   private long violations;
 
   SliceMonitor(Membership membership, JobRegistry jobs, SliceRegistry slices) {
@@ -31,28 +31,30 @@
     this.slices = slices;
   }
 
-  /** How often a job was found whose slices overlap or have several records. */
+  /**
+   * Returns the number of times that a job's slices were found to overlap or have several records.
+   */
   long violations() {
     return violations;
   }
 
-  /** Checks the jobs whose slices have changed, if it is time. */
+  /** Checks the jobs whose slices have changed or violate the invariant, if a check is due. */
   void tick(long nowMicros) {
-    if (nowMicros < nextMicros || !membership.copyLoaded()) {
+    if (nowMicros < nextCheckMicros || !membership.copyLoaded()) {
       return;
     }
-    nextMicros = nowMicros + INTERVAL_MICROS;
-    Set<String> changed = new HashSet<>(slices.takeLoadedJobs());
-    changed.addAll(violated);
-    changed.forEach(this::check);
+    nextCheckMicros = nowMicros + CHECK_INTERVAL_MICROS;
+    Set<String> jobsToCheck = new HashSet<>(slices.takeLoadedJobs());
+    jobsToCheck.addAll(violatingJobs);
+    jobsToCheck.forEach(this::check);
   }
 
   private void check(String id) {
     Optional<String> violation =
         Optional.ofNullable(jobs.active(id)).flatMap(slices.integrity()::violation);
     if (violation.isEmpty()) {
-      violated.remove(id);
-    } else if (violated.add(id)) {
+      violatingJobs.remove(id);
+    } else if (violatingJobs.add(id)) {
       violations++;
       LOG.error(
           "slice integrity violated job={} {} mark_revision={} copy_revision={}",
--- a/src/main/java/gladeknot/lifecycle/SpotReclaims.java
+++ b/src/main/java/gladeknot/lifecycle/SpotReclaims.java
@@ -12,19 +12,24 @@
 import java.util.List;
 
 /**
- * Decides which tasks are stopped on spot machines that the cloud has announced to take back.
+ * Decides which tasks are stopped on spot machines that the cloud has announced to reclaim.
  *
- * <p>A task that is still running when its machine is taken away can start elsewhere only once its
- * lease has surely expired; one that was stopped, and whose end was reported, may start at once.
- * Tasks that can't complete in time and save no checkpoints are stopped as soon as that is clear,
- * all others at the last moment.
+ * <p>A task that still runs when its machine is reclaimed can start elsewhere only after its lease
+ * has provably expired. A task that was stopped, and whose end was reported, may start at once.
+ * Tasks of arrays that save no checkpoints are stopped as soon as their estimated run time shows
+ * that they won't complete in time. All other tasks are stopped at the last moment.
  */
 final class SpotReclaims {
-  /** What a stop takes: sending the command, ending the task, reporting the end. */
-  private static final long STOP_MICROS = 2_000_000;
+  /**
+   * Time to stop a task, in microseconds: sending the command, ending the task, reporting the end.
+   */
+  private static final long STOP_DURATION_MICROS = 2_000_000;
 
-  /** A task that would take so many times as long as its machine has left won't end in time. */
-  private static final double SURELY_LATE_FACTOR = 1.25;
+  /**
+   * Ratio of a task's remaining run time to its machine's remaining time above which the task won't
+   * complete in time.
+   */
+  private static final double OVERRUN_FACTOR = 1.25;
 
   private final Membership membership;
   private final JobRegistry jobs;
@@ -45,7 +50,7 @@
     this.attempts = attempts;
   }
 
-  /** Stops what is due on the machines of an owned shard. */
+  /** Stops the tasks that are due to be stopped on an owned shard's machines. */
   void drain(int shard) {
     for (Worker worker : workers.inShard(shard)) {
       if (worker.reclaimAtMicros() != 0) {
@@ -54,36 +59,39 @@
     }
   }
 
-  private void drain(Worker worker, long leftMicros) {
+  private void drain(Worker worker, long remainingMicros) {
     for (Attempt attempt : List.copyOf(worker.attempts().values())) {
       Job job = jobs.active(attempt.slice().job());
-      if (job != null && stoppable(attempt) && due(attempt, job.spec(), leftMicros)) {
+      if (job != null && isStoppable(attempt) && isStopDue(attempt, job.spec(), remainingMicros)) {
         stop(attempt, job.spec());
       }
     }
   }
 
-  private boolean stoppable(Attempt attempt) {
-    return live(attempt) && membership.ownedShards().contains(attempt.slice().shard());
+  private boolean isStoppable(Attempt attempt) {
+    return isLive(attempt) && membership.ownedShards().contains(attempt.slice().shard());
   }
 
-  private static boolean live(Attempt attempt) {
+  private static boolean isLive(Attempt attempt) {
     return attempt.committed() && !attempt.closed() && !attempt.killRequested();
   }
 
-  private boolean due(Attempt attempt, JobSpec spec, long leftMicros) {
-    if (leftMicros <= STOP_MICROS + spec.checkpointMicros()) {
+  private boolean isStopDue(Attempt attempt, JobSpec spec, long remainingMicros) {
+    if (remainingMicros <= STOP_DURATION_MICROS + spec.checkpointMicros()) {
       return true;
     }
     if (spec.shape() != JobSpec.Shape.ARRAY || spec.checkpointIntervalMicros() > 0) {
       return false;
     }
-    long since = attempt.runningSinceMicros();
-    long ranMicros = since == 0 ? 0 : attempts.nowMicros() - since;
-    return estimates.runMicros(spec) - ranMicros > leftMicros * SURELY_LATE_FACTOR;
+    long runningSinceMicros = attempt.runningSinceMicros();
+    long elapsedMicros = runningSinceMicros == 0 ? 0 : attempts.nowMicros() - runningSinceMicros;
+    return estimates.runMicros(spec) - elapsedMicros > remainingMicros * OVERRUN_FACTOR;
   }
 
-  /** A gang is stopped as a whole: its progress is saved only if all its tasks are stopped. */
+  /**
+   * Stops an attempt. A gang is stopped as a whole, because its progress is saved only if all its
+   * tasks are stopped.
+   */
   private void stop(Attempt attempt, JobSpec spec) {
     double graceSeconds = TerminationGrace.seconds(spec);
     if (spec.shape() != JobSpec.Shape.GANG) {
@@ -91,7 +99,7 @@
       return;
     }
     for (Attempt member : List.copyOf(attempt.slice().attemptsByTask().values())) {
-      if (live(member)) {
+      if (isLive(member)) {
         attempts.kill(member, graceSeconds);
       }
     }
--- a/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
+++ b/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
@@ -24,14 +24,14 @@
 import java.util.function.Predicate;
 
 /**
- * Follows attempts from the commit of their start to the commit of their end, and jobs to their
- * final state. Other packages use the lifecycle through this class alone.
+ * Tracks attempts from the commit of their start to the commit of their end, and jobs to their
+ * final state. Other packages use the lifecycle only through this class.
  */
 public final class TaskLifecycle {
   private static final long CHECK_INTERVAL_MICROS = 250_000;
 
-  /** A worker has timed out after so many heartbeat intervals without a heartbeat. */
-  private static final int TIMEOUT_INTERVALS = 2;
+  /** Number of heartbeat intervals without a heartbeat after which a worker has timed out. */
+  private static final int HEARTBEAT_TIMEOUT_INTERVALS = 2;
 
   private final Membership membership;
   private final JobRegistry jobs;
@@ -51,7 +51,7 @@
   private final long heartbeatTimeoutMicros;
   private long nextCheckMicros;
 
-  /** A lifecycle that knows of no attempts yet. */
+  /** Creates a lifecycle without attempts. */
   public TaskLifecycle(
       Settings settings,
       Membership membership,
@@ -67,7 +67,7 @@
     this.slices = slices;
     this.workers = workers;
     this.committer = committer;
-    heartbeatTimeoutMicros = TIMEOUT_INTERVALS * settings.workers().heartbeatMicros();
+    heartbeatTimeoutMicros = HEARTBEAT_TIMEOUT_INTERVALS * settings.workers().heartbeatMicros();
     killDispatcher = new KillDispatcher(membership, workers, outbox);
     attempts =
         new AttemptTracker(
@@ -87,12 +87,12 @@
     sliceMonitor = new SliceMonitor(membership, jobs, slices);
   }
 
-  /** Sets what may withhold starts that a former owner of a shard committed. */
+  /** Sets the limit that may withhold starts committed by a former owner of a shard. */
   public void useRestartLimit(RestartLimit limit) {
     reconciler.setRestartLimit(limit);
   }
 
-  /** Whether an end on a worker waits to be committed, of a slice that a condition holds for. */
+  /** Returns whether a worker has an attempt with an uncommitted end in a slice that matches. */
   public boolean hasUncommittedEnd(Worker worker, Predicate<Slice> condition) {
     for (Attempt attempt : worker.attempts().values()) {
       if (attempt.closed() && condition.test(attempt.slice())) {
@@ -102,36 +102,38 @@
     return false;
   }
 
-  /** How often a job was found whose tasks belong to two slices, or a slice to two records. */
+  /**
+   * Returns the number of times that a job's slices were found to overlap or have several records.
+   */
   public long sliceViolations() {
     return sliceMonitor.violations();
   }
 
-  /** Requests a scheduling round, since something has changed that may let tasks be placed. */
+  /** Requests a scheduling round after a change that may allow tasks to be placed. */
   public void requestScheduling() {
     scheduling.request();
   }
 
-  /** Whether a scheduling round is requested. */
+  /** Returns whether a scheduling round is requested. */
   public boolean isSchedulingNeeded() {
     return scheduling.requested();
   }
 
-  /** Returns whether a scheduling round is requested, and takes the request back. */
+  /** Returns whether a scheduling round is requested, and clears the request. */
   public boolean takeSchedulingNeeded() {
     return scheduling.take();
   }
 
-  /** How long tasks run, as learned from those that have completed. */
+  /** Returns the run time estimates learned from completed tasks. */
   public RuntimeEstimates estimates() {
     return estimates;
   }
 
   /**
-   * Repeats kills, and finds expired leases and completed jobs, each when it is time.
+   * Repeats kills, checks slices, leases and spot machines, and completes jobs, each when due.
    *
-   * @param nowMicros the steady clock
-   * @param wallMicros the time of day
+   * @param nowMicros the steady clock, in microseconds
+   * @param wallMicros the time of day, in microseconds
    */
   public void tick(long nowMicros, long wallMicros) {
     attempts.setTime(nowMicros);
@@ -151,7 +153,7 @@
   }
 
   /**
-   * A job's record has changed in the cached state; the tasks of a finished job are stopped.
+   * Handles a change of a job's record in the cache. The tasks of a finished job are stopped.
    *
    * @param before the job before; null if it is new
    * @param now the job now; null if its record was deleted
@@ -166,15 +168,15 @@
     }
   }
 
-  /** A segment of a shard's record has changed in the cached state. */
+  /** Handles a change of a segment in the cache. */
   public void onSegmentChange(String key) {
     scheduling.request();
     committer.refreshSegment(key);
   }
 
   /**
-   * Another controller has committed the cancellation of jobs, which the cached state may not show
-   * for a while: their tasks in owned shards are stopped at once.
+   * Handles jobs whose cancellation another controller has committed. The cache may not show it for
+   * a while, so the jobs' tasks in owned shards are stopped at once.
    */
   public void onCancelledElsewhere(List<String> ids) {
     for (String job : ids) {
@@ -182,20 +184,22 @@
     }
   }
 
-  /** Kills for what a heartbeat lists of jobs that are finished by the cached state. */
+  /**
+   * Returns kill commands for a heartbeat's tasks whose jobs are finished according to the cache.
+   */
   public List<WorkerCommand> killsForFinishedJobs(Heartbeat heartbeat) {
     return finishedJobs.kills(heartbeat);
   }
 
   /**
-   * Kills an attempt, by direct commands and again with the answer to each heartbeat. A further
-   * call changes the grace period.
+   * Kills an attempt, both by direct commands and with the answer to each heartbeat. A further call
+   * changes the grace period.
    */
   public void kill(Attempt attempt, double graceSeconds) {
     attempts.kill(attempt, graceSeconds);
   }
 
-  /** Whether a worker has nothing on it but running tasks of services, and is not reclaimed. */
+  /** Returns whether a worker has only running service tasks and is not being reclaimed. */
   public boolean isSteady(Worker worker) {
     if (worker.reclaimAtMicros() != 0) {
       return false;
@@ -213,45 +217,48 @@
     return true;
   }
 
-  /** Follows a heartbeat of a worker of an owned shard; returns the commands for the worker. */
+  /** Reconciles a heartbeat of an owned shard's worker; returns the commands for the worker. */
   public List<WorkerCommand> reconcile(Worker worker, Heartbeat heartbeat) {
     return reconciler.reconcile(worker, heartbeat);
   }
 
-  /** A worker has restarted: what its status does not list is lost. */
+  /**
+   * Handles the restart of a worker. Attempts whose run command was sent are lost if the worker's
+   * status does not list them.
+   */
   public void onWorkerRestart(Worker worker, Heartbeat status) {
     Set<String> listed = new HashSet<>();
     status.tasks().forEach(task -> listed.add(task.name()));
     for (Attempt attempt : List.copyOf(worker.attempts().values())) {
-      if (committedHere(attempt) && attempt.runSent() && !listed.contains(attempt.name())) {
-        attempts.lost(attempt, LossReason.WORKER_RESTARTED);
+      if (isLiveInOwnedShard(attempt) && attempt.runSent() && !listed.contains(attempt.name())) {
+        attempts.onLost(attempt, LossReason.WORKER_RESTARTED);
       }
     }
   }
 
-  /** The cloud has confirmed the release of a machine: nothing is on it any more. */
+  /** Handles the confirmed release of a machine: all attempts on it are lost. */
   public void onWorkerReleased(String host) {
     Worker worker = workers.get(host);
     if (worker == null) {
       return;
     }
     for (Attempt attempt : List.copyOf(worker.attempts().values())) {
-      if (committedHere(attempt)) {
-        attempts.lost(attempt, LossReason.WORKER_RELEASED);
+      if (isLiveInOwnedShard(attempt)) {
+        attempts.onLost(attempt, LossReason.WORKER_RELEASED);
       }
     }
   }
 
-  private boolean committedHere(Attempt attempt) {
+  private boolean isLiveInOwnedShard(Attempt attempt) {
     return attempt.committed()
         && !attempt.closed()
         && membership.ownedShards().contains(attempt.slice().shard());
   }
 
   /**
-   * Whether more than half of a shard's workers with a session here have timed out. A worker has a
-   * session once a heartbeat of its has been admitted since the shard was acquired; workers that
-   * have sent none count on neither side, and without any session the answer is false.
+   * Returns whether more than half of a shard's workers with a session here have timed out. A
+   * worker has a session once one of its heartbeats has been admitted since the shard was acquired.
+   * Workers without a session are not counted; if no worker has a session, the result is false.
    */
   public boolean mostWorkersTimedOut(int shard) {
     int sessions = 0;
@@ -267,7 +274,7 @@
     return timedOut * 2 > sessions;
   }
 
-  /** How far a job has come, for display. */
+  /** Returns a job's completed and running task counts, for display. */
   public TaskCounts taskCounts(Job job) {
     return completion.taskCounts(job);
   }
--- a/src/main/java/gladeknot/lifecycle/package-info.java
+++ b/src/main/java/gladeknot/lifecycle/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The life of attempts between the commit of their start and the commit of their end, and the final
- * states of jobs.
+ * Tracks attempts between the commit of their start and the commit of their end, and commits the
+ * final states of jobs.
  *
  * <p>{@link gladeknot.lifecycle.TaskLifecycle} is the entry point. Behind it heartbeats are
  * reconciled with records, kills are dispatched, leases expire, spot machines that are reclaimed
@@ -9,6 +9,6 @@
  * and commits go through package commit.
  *
  * <p>Uses commit, workers, tasks, jobs, membership, connectivity, state, outbox, settings and
- * tracing. It knows nothing of scheduling and fleet, which use it.
+ * tracing. It must not use scheduling and fleet, which use this package.
  */
 package gladeknot.lifecycle;
