--- a/src/main/java/gladeknot/app/ControllerComponents.java
+++ b/src/main/java/gladeknot/app/ControllerComponents.java
@@ -73,7 +73,7 @@
     homeShards = new HomeShardSelector(settings, membership, jobs, workers, catalog::type);
     jobRequests = newJobRequests(settings, tracer);
     heartbeats = newHeartbeats(settings);
-    committer.afterCommit(this::onCommit);
+    committer.setListener(this::onCommit);
     committer.useAdmission(quota.admission());
     lifecycle.useRestartLimit(quota::withholdsRestart);
   }
--- a/src/main/java/gladeknot/commit/TransactionCommitter.java
+++ b/src/main/java/gladeknot/commit/TransactionCommitter.java
@@ -53,7 +53,7 @@
   }
 
   /** Sets the listener that is notified after each transaction's outcome has been applied. */
-  public void afterCommit(CommitListener listener) {
+  public void setListener(CommitListener listener) {
     outcomes.setListener(listener);
   }
 
