--- a/src/main/java/gladeknot/membership/FailoverTimer.java
+++ b/src/main/java/gladeknot/membership/FailoverTimer.java
@@ -3,43 +3,43 @@
 import gladeknot.connectivity.FailoverAdvisor;
 
 /**
- * How long this controller waits before it takes a shard whose owner's lease has expired. Nodes
- * that come later in the ring wait longer, and so do those that own more shards, so that mostly one
- * tries.
+ * Delays the failover of shards whose owners' leases have expired. The delay grows with this node's
+ * distance from the shard in the ring of nodes and with the number of shards that it owns, so that
+ * usually only one node attempts the failover.
  */
 final class FailoverTimer {
-  /** How long the first in the ring waits. */
-  private static final long FIRST_WAIT_MICROS = 100_000;
+  /** Delay of the first node in the ring if it owns no shard, in microseconds. */
+  private static final long BASE_DELAY_MICROS = 100_000;
 
-  /** How much longer each next one waits. */
-  private static final long STEP_MICROS = 500_000;
+  /** Additional delay for each position in the ring and each owned shard, in microseconds. */
+  private static final long DELAY_STEP_MICROS = 500_000;
 
-  private static final long NOT_WAITING = 0;
+  private static final long NOT_STARTED = 0;
 
   private final int homeShard;
   private final OwnedShards shards;
   private final FailoverAdvisor advisor;
-  private final long[] sinceMicros;
+  private final long[] startedMicros;
 
   FailoverTimer(int homeShard, int shardCount, OwnedShards shards, FailoverAdvisor advisor) {
     this.homeShard = homeShard;
     this.shards = shards;
     this.advisor = advisor;
-    this.sinceMicros = new long[shardCount];
+    this.startedMicros = new long[shardCount];
   }
 
-  /** The shard has a live owner. */
+  /** Cancels the delay of a shard because the shard has a live owner. */
   void reset(int shard) {
-    sinceMicros[shard] = NOT_WAITING;
+    startedMicros[shard] = NOT_STARTED;
   }
 
-  /** Whether the wait for a shard is over; the first call starts it. */
+  /** Returns whether the delay of a shard has elapsed. The first call starts the delay. */
   boolean elapsed(int shard, long nowMicros) {
-    if (sinceMicros[shard] == NOT_WAITING) {
-      sinceMicros[shard] = nowMicros;
+    if (startedMicros[shard] == NOT_STARTED) {
+      startedMicros[shard] = nowMicros;
     }
-    int place = Math.floorMod(homeShard - shard - 1, sinceMicros.length);
-    long wait = FIRST_WAIT_MICROS + STEP_MICROS * (place + shards.all().size());
-    return nowMicros - sinceMicros[shard] >= wait + advisor.failoverDelayMicros(shard);
+    int ringPosition = Math.floorMod(homeShard - shard - 1, startedMicros.length);
+    long delayMicros = BASE_DELAY_MICROS + DELAY_STEP_MICROS * (ringPosition + shards.all().size());
+    return nowMicros - startedMicros[shard] >= delayMicros + advisor.failoverDelayMicros(shard);
   }
 }
--- a/src/main/java/gladeknot/membership/FormatRecord.java
+++ b/src/main/java/gladeknot/membership/FormatRecord.java
@@ -1,9 +1,10 @@
 package gladeknot.membership;
 
 /**
- * The stored mark of the format that all members use.
+ * The stored storage format, which all members use.
  *
  * @param format the storage format
- * @param segmentSplit how many segments each of the first version's segments is split into; above 0
+ * @param segmentSplit number of segments that each segment of the first version's layout is split
+ *     into; above 0
  */
 record FormatRecord(int format, int segmentSplit) {}
--- a/src/main/java/gladeknot/membership/LeaseDelegations.java
+++ b/src/main/java/gladeknot/membership/LeaseDelegations.java
@@ -14,25 +14,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stored delegations by which a controller that a shard's workers can reach renews their leases for
- * a limited time in the owner's place.
+ * Enters and observes lease delegations. A delegation lets a controller that a shard's workers can
+ * reach renew their leases for a limited time in place of the shard's owner.
  */
 final class LeaseDelegations {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseDelegations.class);
 
-  /** How many delegations one controller enters for one term. */
+  /** Maximum number of delegations that one controller enters for one term of a shard. */
   private static final int MAX_ENTRIES_PER_TERM = 2;
 
-  /** As the owner: the newest delegation that was observed, and when it has surely expired. */
-  private static final class Observed {
+  /** The newest delegation observed for a shard, and the time by which it has expired. */
+  private static final class ObservedDelegation {
     private long revision;
     private long untilMicros;
   }
 
-  /** As the delegate: the term of this controller's entries, their number, and their end. */
-  private static final class Own {
+  /** The number and the end of this controller's own delegations for one term of a shard. */
+  private static final class OwnDelegations {
     private long term;
-    private int entries;
+    private int entryCount;
     private long untilMicros;
   }
 
@@ -40,8 +40,8 @@
   private final StateStore stateStore;
   private final ShardTable table;
   private final LeaseTimes times;
-  private final Observed[] observed;
-  private final Own[] own;
+  private final ObservedDelegation[] observedDelegations;
+  private final OwnDelegations[] ownDelegations;
   private long nowMicros;
 
   LeaseDelegations(Settings settings, StateStore stateStore, ShardTable table, LeaseTimes times) {
@@ -49,11 +49,11 @@
     this.stateStore = stateStore;
     this.table = table;
     this.times = times;
-    this.observed = new Observed[table.shardCount()];
-    this.own = new Own[table.shardCount()];
+    this.observedDelegations = new ObservedDelegation[table.shardCount()];
+    this.ownDelegations = new OwnDelegations[table.shardCount()];
     for (int shard = 0; shard < table.shardCount(); shard++) {
-      observed[shard] = new Observed();
-      own[shard] = new Own();
+      observedDelegations[shard] = new ObservedDelegation();
+      ownDelegations[shard] = new OwnDelegations();
     }
   }
 
@@ -61,28 +61,28 @@
     nowMicros = micros;
   }
 
-  /** The revision of the newest delegation of a shard that was observed; 0 if there is none. */
+  /** Returns the revision of the newest delegation observed for a shard; 0 if there is none. */
   long revision(int shard) {
-    return observed[shard].revision;
+    return observedDelegations[shard].revision;
   }
 
-  /** Until when another controller may renew the leases of a shard's workers. */
+  /** Returns the time until which another controller may renew the leases of a shard's workers. */
   long untilMicros(int shard) {
     long revision = stateStore.modRevision(MembershipKeys.delegation(shard));
-    Observed newest = observed[shard];
+    ObservedDelegation newest = observedDelegations[shard];
     if (revision != newest.revision) {
       newest.revision = revision;
-      newest.untilMicros = times.delegatedUntilMicros(nowMicros);
+      newest.untilMicros = times.delegationExpiredAtMicros(nowMicros);
     }
     return newest.untilMicros;
   }
 
-  /** Whether a delegation to this controller for a shard's present term has not expired. */
+  /** Returns whether this controller has an unexpired delegation for the given term of a shard. */
   boolean holds(int shard, long term) {
-    return own[shard].term == term && nowMicros < own[shard].untilMicros;
+    return ownDelegations[shard].term == term && nowMicros < ownDelegations[shard].untilMicros;
   }
 
-  /** The other node that is the delegate for a shard's present term, if it is alive. */
+  /** Returns the delegate for a shard's current term if it is another node and is alive. */
   Optional<String> otherDelegate(int shard) {
     Entry entry = stateStore.get(MembershipKeys.delegation(shard));
     if (entry == null) {
@@ -98,23 +98,24 @@
   }
 
   /**
-   * Enters this controller as a shard's delegate, a few times for each term at most.
+   * Enters this controller as a shard's delegate, at most {@link #MAX_ENTRIES_PER_TERM} times for
+   * each term.
    *
-   * @param then takes whether the delegation holds for the shard's present term
+   * @param callback receives whether the delegation was entered and the shard's term is unchanged
    */
-  void enter(int shard, Consumer<Boolean> then) {
+  void enter(int shard, Consumer<Boolean> callback) {
     long term = table.term(shard);
-    Own entry = own[shard];
-    if (entry.term != term) {
-      entry.term = term;
-      entry.entries = 0;
-      entry.untilMicros = 0;
+    OwnDelegations ownDelegation = ownDelegations[shard];
+    if (ownDelegation.term != term) {
+      ownDelegation.term = term;
+      ownDelegation.entryCount = 0;
+      ownDelegation.untilMicros = 0;
     }
-    if (entry.entries >= MAX_ENTRIES_PER_TERM || !stateStore.tryAcquireWrites(1, 0)) {
-      then.accept(false);
+    if (ownDelegation.entryCount >= MAX_ENTRIES_PER_TERM || !stateStore.tryAcquireWrites(1, 0)) {
+      callback.accept(false);
       return;
     }
-    entry.entries++;
+    ownDelegation.entryCount++;
     long sentMicros = nowMicros;
     String liveness = MembershipKeys.liveness(node);
     stateStore.commit(
@@ -123,26 +124,27 @@
             Mutation.put(
                 MembershipKeys.delegation(shard),
                 MembershipCodec.encode(new DelegationRecord(node, term)))),
-        outcome -> then.accept(onEntered(outcome, shard, term, sentMicros)));
+        outcome -> callback.accept(onEntered(outcome, shard, term, sentMicros)));
   }
 
   private boolean onEntered(CommitOutcome outcome, int shard, long term, long sentMicros) {
     boolean entered = outcome.status() == CommitStatus.COMMITTED && term == table.term(shard);
     if (entered) {
       LOG.info("lease delegation entered shard={} term={} delegate={}", shard, term, node);
-      own[shard].untilMicros = times.delegateUntilMicros(sentMicros);
+      ownDelegations[shard].untilMicros = times.delegateMayActUntilMicros(sentMicros);
     }
     return entered;
   }
 
   /**
-   * This controller owns the shard now, and its delegations are over. Returns whether it renewed
-   * the workers' leases in the former owner's place within the given time.
+   * Ends this controller's delegations for a shard that it has acquired. Returns whether it entered
+   * any, and the last one expired less than the given time ago or has not expired yet.
    */
-  boolean endOnAcquire(int shard, long withinMicros) {
-    Own entry = own[shard];
-    boolean renewed = entry.entries > 0 && nowMicros - entry.untilMicros < withinMicros;
-    entry.entries = 0;
+  boolean endOnAcquire(int shard, long maxAgeMicros) {
+    OwnDelegations ownDelegation = ownDelegations[shard];
+    boolean renewed =
+        ownDelegation.entryCount > 0 && nowMicros - ownDelegation.untilMicros < maxAgeMicros;
+    ownDelegation.entryCount = 0;
     return renewed;
   }
 }
--- a/src/main/java/gladeknot/membership/LeaseTimes.java
+++ b/src/main/java/gladeknot/membership/LeaseTimes.java
@@ -3,71 +3,85 @@
 import gladeknot.settings.Settings;
 
 /**
- * Who may act until when: the one computation on which all rules about leases rest.
+ * Durations of leases and the times until which their holders may act. All rules about leases rest
+ * on this computation.
  *
- * <p>A controller answers its workers until its state lease, or what its watch cache is known to
- * reflect, is {@code stateLeaseMicros} old. A worker keeps its tasks for {@code workerLeaseMicros}
- * after it sent the last heartbeat that was answered. What was cancelled after the cache was
- * current is unknown to the controller that long, so that both together, with drifting clocks and a
- * margin for commands on their way, stay below {@code cancelMicros}. All times count from when
- * something was sent.
+ * <p>A controller answers its workers until its state lease, or the state that its watch cache is
+ * known to reflect, is {@code stateLeaseMicros} old. A worker keeps its tasks for {@code
+ * workerLeaseMicros} after it sent the last heartbeat that was answered. The controller may not
+ * know of a cancellation that was committed after its cache was last known to be current. The sum
+ * of both durations, with clock drift and a margin for commands in transit, therefore stays below
+ * {@code cancelMicros}. All durations count from the sending of the request.
  */
 public record LeaseTimes(long stateLeaseMicros, long workerLeaseMicros, long cancelMicros) {
-  /** Clocks drift apart by at most 0.05%; twice that covers two of them. */
-  private static final double DRIFT = 0.001;
+  /** Maximum drift between two clocks, as a fraction: twice the 0.05% by which one may drift. */
+  private static final double MAX_CLOCK_DRIFT = 0.001;
 
-  /** A worker's lease counts as expired only after its whole drift and half as much again. */
-  private static final double EXPIRY_DRIFTS = 1.5;
+  /** Multiple of the clock drift that is added to a worker's lease before it counts as expired. */
+  private static final double EXPIRY_DRIFT_FACTOR = 1.5;
 
-  /** For a kill on its way, and for answers that were given at the last moment. */
-  private static final long MIN_MARGIN_MICROS = 3_000_000;
+  /**
+   * Minimum margin within the cancellation time, in microseconds. It covers a kill command in
+   * transit and answers that were given just before a lease ended.
+   */
+  private static final long MIN_CANCEL_MARGIN_MICROS = 3_000_000;
 
-  /** Timers fire late by a little: nothing is done in the last moment of a lease. */
-  private static final long GUARD_MICROS = 50_000;
+  /** Time before the end of a lease when acting stops, in microseconds: timers fire late. */
+  private static final long LEASE_END_GUARD_MICROS = 50_000;
 
-  /** Added to a worker's lease before it counts as expired. */
+  /** Margin added to a worker's lease before it counts as expired, in microseconds. */
   private static final long EXPIRY_MARGIN_MICROS = 300_000;
 
-  /** How long one delegation lets another controller renew a shard's workers' leases. */
+  /** Duration of a delegation, in microseconds. */
   private static final long DELEGATION_MICROS = 6_000_000;
 
-  /** The wanted state lease, or as much of it as the time of a cancellation allows. */
-  public static LeaseTimes of(Settings.Workers workers, long wantedMicros) {
-    long most = workers.cancelMicros() - workers.leaseMicros() - MIN_MARGIN_MICROS;
+  /** Returns the times for the wanted state lease, or for the longest that cancellation allows. */
+  public static LeaseTimes of(Settings.Workers workers, long wantedStateLeaseMicros) {
+    long longestMicros = workers.cancelMicros() - workers.leaseMicros() - MIN_CANCEL_MARGIN_MICROS;
     return new LeaseTimes(
-        Math.min(wantedMicros, most), workers.leaseMicros(), workers.cancelMicros());
+        Math.min(wantedStateLeaseMicros, longestMicros),
+        workers.leaseMicros(),
+        workers.cancelMicros());
   }
 
   /**
-   * Until when a controller may act, by when it sent the newest renewal of its state lease that was
-   * granted and the newest read that its cache reflects.
+   * Returns the time until which a controller may act.
+   *
+   * @param renewedMicros time at which it sent the newest granted renewal of its state lease
+   * @param cacheCurrentMicros time at which it sent the newest read that its cache reflects
    */
-  public long actsUntilMicros(long renewedMicros, long freshMicros) {
-    long since = Math.min(renewedMicros, freshMicros);
-    return since + (long) (stateLeaseMicros * (1 - DRIFT)) - GUARD_MICROS;
+  public long mayActUntilMicros(long renewedMicros, long cacheCurrentMicros) {
+    long validFromMicros = Math.min(renewedMicros, cacheCurrentMicros);
+    return validFromMicros
+        + (long) (stateLeaseMicros * (1 - MAX_CLOCK_DRIFT))
+        - LEASE_END_GUARD_MICROS;
   }
 
-  /** After how long without an answer a worker's lease has expired, by any clock. */
+  /** Returns the time without an answer after which a worker's lease has expired by any clock. */
   public long expiredAfterMicros() {
-    return (long) (workerLeaseMicros * (1 + EXPIRY_DRIFTS * DRIFT)) + EXPIRY_MARGIN_MICROS;
+    return (long) (workerLeaseMicros * (1 + EXPIRY_DRIFT_FACTOR * MAX_CLOCK_DRIFT))
+        + EXPIRY_MARGIN_MICROS;
   }
 
-  /** Until when whoever entered a delegation may renew leases, by when it sent the entry. */
-  public long delegateUntilMicros(long sentMicros) {
-    return sentMicros + (long) (DELEGATION_MICROS * (1 - DRIFT));
+  /** Returns the time until which a delegate that sent its entry at a given time may act. */
+  public long delegateMayActUntilMicros(long sentMicros) {
+    return sentMicros + (long) (DELEGATION_MICROS * (1 - MAX_CLOCK_DRIFT));
   }
 
-  /** Until when the owner reckons with that, by when it observed the entry. */
-  public long delegatedUntilMicros(long seenMicros) {
-    return seenMicros + (long) (DELEGATION_MICROS * (1 + DRIFT));
+  /**
+   * Returns the time by which a delegation has expired if its entry was observed at a given time.
+   */
+  public long delegationExpiredAtMicros(long observedMicros) {
+    return observedMicros + (long) (DELEGATION_MICROS * (1 + MAX_CLOCK_DRIFT));
   }
 
   /**
-   * How long after a cancellation was committed a task may be on a machine, if no kill reaches it:
-   * the longest answer by an owner that does not know of it, then the worker's lease. A delegate
-   * reads after each heartbeat before it answers, and kills what is over, so that it adds nothing.
+   * Returns the longest time that a task may stay on a machine after its cancellation was
+   * committed, if no kill command reaches the task. An owner that does not know of the cancellation
+   * may answer the worker for a whole state lease, and the worker's lease follows. A delegate adds
+   * no time: it reads the state after each heartbeat, before it answers, and kills cancelled tasks.
    */
   public long longestAfterCancelMicros() {
-    return stateLeaseMicros + (long) (workerLeaseMicros * (1 + DRIFT));
+    return stateLeaseMicros + (long) (workerLeaseMicros * (1 + MAX_CLOCK_DRIFT));
   }
 }
--- a/src/main/java/gladeknot/membership/Membership.java
+++ b/src/main/java/gladeknot/membership/Membership.java
@@ -12,14 +12,15 @@
 import java.util.function.Consumer;
 
 /**
- * The controllers' leases, and which of them owns which shard under which term.
+ * Maintains this controller's state lease and the ownership of shards: which controller owns which
+ * shard under which term.
  *
- * <p>A shard's key outlives its owner. It changes hands by one conditional write: by the present
- * owner, or by any node once the owner's leased liveness key is gone. Each change draws a new term
- * from one global counter.
+ * <p>A shard's key outlives its owner. One conditional write transfers the ownership. The current
+ * owner may make it, or any node once the owner's liveness key, which is attached to the owner's
+ * lease, is gone. Each change draws a new term from one global counter.
  */
 public final class Membership implements Authority.ShardFacts {
-  /** Runs are sent by a cache that is no older than this part of the state lease. */
+  /** Starts are sent only if the cache is younger than the state lease divided by this. */
   private static final int FRESH_LEASE_DIVISOR = 3;
 
   private final List<String> nodes;
@@ -35,7 +36,7 @@
   private final ShardTransfers transfers;
   private long nowMicros;
 
-  /** A member that has no lease and owns no shard yet. */
+  /** Creates a member that has no lease and owns no shard yet. */
   public Membership(
       Settings settings,
       Policy policy,
@@ -58,49 +59,52 @@
             settings, stateStore, table, lease, delegations, shards, authority, advisor, listener);
   }
 
-  /** There are as many shards as members. */
+  /** Returns the number of shards, which is the number of members. */
   public int shardCount() {
     return nodes.size();
   }
 
-  /** The shard that this controller owns while all is well. */
+  /** Returns the shard that this controller owns unless a failover or a handover moved it. */
   public int homeShard() {
     return homeShard;
   }
 
-  /** The key of a shard, on which its owner's transactions are conditional. */
+  /** Returns the key of a shard, on which its owner's transactions are conditional. */
   public static String shardKey(int shard) {
     return MembershipKeys.shard(shard);
   }
 
-  /** The format in which records are stored. */
+  /** Returns the format in which records are stored. */
   public StorageFormat format() {
     return format;
   }
 
-  /** How long leases and delegations last. */
+  /** Returns the durations of leases and delegations. */
   public LeaseTimes times() {
     return times;
   }
 
-  /** Sets the time, in microseconds of the steady clock, by which what follows is judged. */
+  /** Sets the current time, in microseconds of the steady clock, which all checks use. */
   public void setTime(long micros) {
     nowMicros = micros;
     lease.setTime(micros);
     delegations.setTime(micros);
   }
 
-  /** Whether this controller's lease surely holds, so that it may act for its shards. */
+  /**
+   * Returns whether this controller may act for its shards: its lease certainly holds, and its
+   * watch cache is recent enough.
+   */
   public boolean mayAct() {
-    return lease.entitled();
+    return lease.mayAct();
   }
 
-  /** Whether an action of some kind may be taken for a shard now. */
-  public boolean permits(ControlAction kind, int shard) {
-    return authority.permits(kind, shard);
+  /** Returns whether an action of the given kind may be taken for a shard now. */
+  public boolean permits(ControlAction action, int shard) {
+    return authority.permits(action, shard);
   }
 
-  /** What may be done for shards, and why not. */
+  /** Returns the authority, which decides on the actions for shards and explains refusals. */
   public Authority authority() {
     return authority;
   }
@@ -115,7 +119,7 @@
     return shards.inDoubt(shard);
   }
 
-  /** The revision that the watch has reached: the copy of the state holds all changes up to it. */
+  /** Returns the revision that the watch has reached: the cache holds all changes up to it. */
   public long copyRevision() {
     return stateStore.revision();
   }
@@ -126,8 +130,9 @@
   }
 
   /**
-   * A cancellation that the cache does not show can only be as old as the cache. Nothing is
-   * committed while the state service does not answer, so that little waits for this.
+   * Returns whether the cache is recent enough for starts to be sent. A cancellation that the cache
+   * does not show is no older than the cache. The condition delays little, because nothing is
+   * committed while the state service does not answer.
    */
   @Override
   public boolean copyFresh() {
@@ -135,116 +140,132 @@
     return age < times.stateLeaseMicros() / FRESH_LEASE_DIVISOR;
   }
 
-  /** The incarnation of this controller, the number of its state lease; 0 without one. */
+  /** Returns this controller's incarnation, the number of its state lease; 0 without a lease. */
   public long incarnation() {
     return lease.incarnation();
   }
 
-  /** A live view of the shards that this controller owns. */
+  /** Returns a live view of the shards that this controller owns. */
   public Set<Integer> ownedShards() {
     return shards.all();
   }
 
-  /** Since when this controller has owned a shard, in microseconds of the steady clock. */
+  /**
+   * Returns when this controller acquired a shard or last got a new term for it, in microseconds of
+   * the steady clock.
+   */
   public long ownedSinceMicros(int shard) {
-    return shards.sinceMicros(shard);
+    return shards.acquiredMicros(shard);
   }
 
-  /** A shard's term, the fencing token that its workers are shown; 0 if it never had an owner. */
+  /**
+   * Returns a shard's term, the fencing token that its workers are shown; 0 if the shard never had
+   * an owner.
+   */
   public long term(int shard) {
     return table.term(shard);
   }
 
-  /** The owner of a shard, if its liveness key exists. */
+  /** Returns the owner of a shard, if the owner's liveness key exists. */
   public Optional<String> liveOwner(int shard) {
     return owner(shard).filter(owner -> StateLease.isAlive(stateStore, owner));
   }
 
-  /** The owner of a shard by its key, alive or not. */
+  /** Returns the owner that a shard's key names, alive or not. */
   public Optional<String> owner(int shard) {
     return Optional.ofNullable(table.record(shard).owner());
   }
 
-  /** The highest term that an owned shard may have, counting writes that got no answer. */
+  /** Returns the highest term that an owned shard may have, including unanswered writes. */
   public long highestTerm(int shard) {
     return shards.highestTerm(shard);
   }
 
-  /** The owner's incarnation by a shard's key; 0 if it never had an owner. */
+  /** Returns the owner's incarnation that a shard's key names; 0 if it never had an owner. */
   public long incarnation(int shard) {
     return table.record(shard).incarnation();
   }
 
   /**
-   * Stops acting for a shard until its key has changed, so that another may take it: under every
-   * term that it may have now. If this controller gets it back, it is under a higher one.
+   * Stops acting for a shard, under every term that the shard may have now, until its key has
+   * changed. Another node may then take the shard. If this controller gets the shard back, it does
+   * so under a higher term.
    */
   public void relinquish(int shard) {
     shards.relinquish(shard);
   }
 
-  /** How many members have a liveness key; at least 1. */
+  /** Returns the number of members that have a liveness key; at least 1. */
   public int liveMemberCount() {
     return Math.max(1, StateLease.aliveCount(stateStore));
   }
 
-  /** The key of a shard's lease delegation. */
+  /** Returns the key of a shard's lease delegation. */
   public static String delegationKey(int shard) {
     return MembershipKeys.delegation(shard);
   }
 
-  /** The revision of the newest delegation of a shard that was observed; 0 if there is none. */
+  /** Returns the revision of the newest delegation observed for a shard; 0 if there is none. */
   public long delegationRevision(int shard) {
     return delegations.revision(shard);
   }
 
-  /** Until when another controller may renew the leases of a shard's workers. */
+  /** Returns the time until which another controller may renew the leases of a shard's workers. */
   public long delegatedUntilMicros(int shard) {
     return delegations.untilMicros(shard);
   }
 
-  /** Whether this controller may renew the leases of a shard's workers in its owner's place. */
+  /**
+   * Returns whether this controller may renew the leases of a shard's workers in place of the
+   * shard's owner.
+   */
   public boolean isDelegateFor(int shard) {
     return mayAct() && delegations.holds(shard, term(shard)) && !shards.contains(shard);
   }
 
   /**
    * Enters a delegation by which this controller answers the workers of a shard whose owner they
-   * can't reach. The owner takes no lease as expired before the delegation has; it hands the shard
-   * over if no heartbeats come from most of its workers.
+   * can't reach. The owner treats no worker's lease as expired before the delegation has expired.
+   * It hands the shard over if it gets no heartbeats from most of the shard's workers.
    *
-   * @param then takes whether the delegation holds
+   * @param callback receives whether the delegation was entered
    */
-  public void becomeDelegate(int shard, Consumer<Boolean> then) {
+  public void becomeDelegate(int shard, Consumer<Boolean> callback) {
     if (mayAct()) {
-      delegations.enter(shard, then);
+      delegations.enter(shard, callback);
     } else {
-      then.accept(false);
+      callback.accept(false);
     }
   }
 
-  /** A transaction for a shard got no answer: nothing is scheduled until a new term voids it. */
+  /**
+   * Records that a transaction for a shard got no answer. Nothing is scheduled for the shard until
+   * a new term voids the transaction.
+   */
   public void markInDoubt(int shard) {
     shards.markInDoubt(shard);
   }
 
-  /** A worker of the shard has seen a higher fencing token than its term: draws a higher one. */
+  /**
+   * Has a new term drawn for a shard, because one of its workers has seen a fencing token above the
+   * current term.
+   */
   public void raiseTerm(int shard) {
     markInDoubt(shard);
   }
 
-  /** Renews the lease, reads, and transfers shards, each when it is time. */
-  public void tick(long now) {
-    setTime(now);
+  /** Renews the lease, checks the cache, and transfers shards, each when due. */
+  public void tick(long currentMicros) {
+    setTime(currentMicros);
     if (!stateStore.loaded()) {
       return;
     }
     lease.tick();
     if (lease.alive()) {
-      format.tick(now);
+      format.tick(currentMicros);
     }
     if (lease.alive()) {
-      transfers.tick(now);
+      transfers.tick(currentMicros);
     }
   }
 }
--- a/src/main/java/gladeknot/membership/MembershipCodec.java
+++ b/src/main/java/gladeknot/membership/MembershipCodec.java
@@ -4,7 +4,7 @@
 import gladeknot.state.Entry;
 import java.util.Map;
 
-/** How this package's records are stored in the state service. */
+/** Converts this package's records to and from their form in the state service. */
 final class MembershipCodec {
   private static final String OWNER = "owner";
   private static final String INCARNATION = "inc";
@@ -14,7 +14,7 @@
   private static final String COUNTER = "n";
   private static final String DELEGATE = "by";
 
-  /** The first version names no format with its liveness key. */
+  /** Format of a liveness key that names none: the first version does not write one. */
   private static final int FIRST_FORMAT = 1;
 
   private MembershipCodec() {}
@@ -58,12 +58,12 @@
     return new FormatRecord((int) Json.num(data, FORMAT, FIRST_FORMAT), split);
   }
 
-  /** The counter from which terms are drawn. */
+  /** Returns the stored form of the counter from which terms are drawn. */
   static Map<String, Object> encodeTermCounter(long lastTerm) {
     return Json.of(COUNTER, lastTerm);
   }
 
-  /** The highest term drawn so far; 0 without a counter, whose entry is then null. */
+  /** Returns the highest term drawn so far; 0 if the entry is null (no counter exists). */
   static long termCounter(Entry entry) {
     return entry == null ? 0 : Json.num(entry.data(), COUNTER, 0);
   }
--- a/src/main/java/gladeknot/membership/MembershipKeys.java
+++ b/src/main/java/gladeknot/membership/MembershipKeys.java
@@ -7,10 +7,10 @@
   /** Prefix of the controllers' liveness keys. */
   static final String LIVENESS_PREFIX = StateStore.ROOT + "alive/";
 
-  /** The counter from which terms are drawn. */
+  /** Key of the counter from which terms are drawn. */
   static final String TERM_COUNTER = StateStore.ROOT + "term";
 
-  /** The mark of the storage format. */
+  /** Key of the storage format. */
   static final String FORMAT = StateStore.ROOT + "format";
 
   private static final String SHARD_PREFIX = StateStore.ROOT + "shard/";
--- a/src/main/java/gladeknot/membership/OwnedShards.java
+++ b/src/main/java/gladeknot/membership/OwnedShards.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The shards that this controller owns, under which terms, and which of them it must not act for:
- * those on their way to another owner, and those with a transaction in doubt.
+ * The shards that this controller owns, with their terms. It must not act for the owned shards that
+ * are being handed over, nor for those with a transaction in doubt.
  */
 final class OwnedShards {
   private static final Logger LOG = LoggerFactory.getLogger(OwnedShards.class);
@@ -18,28 +18,28 @@
   private final Set<Integer> owned = new HashSet<>();
   private final Set<Integer> handingOver = new HashSet<>();
   private final Set<Integer> inDoubt = new HashSet<>();
-  private final long[] sinceMicros;
+  private final long[] acquiredMicros;
 
-  /** By shard: the term of this controller's newest write of its key, answered or not. */
+  /** Term of this controller's newest write of each shard's key, answered or not. */
   private final long[] writtenTerm;
 
-  /** By shard: the term up to which this controller has relinquished it. */
+  /** Term up to which this controller has relinquished each shard. */
   private final long[] relinquishedTerm;
 
-  /** By owned shard: the term that was observed last. */
+  /** Term that was last observed for each owned shard. */
   private final long[] observedTerm;
 
   OwnedShards(ShardTable table, ShardListener listener) {
     this.table = table;
     this.listener = listener;
-    int shards = table.shardCount();
-    this.sinceMicros = new long[shards];
-    this.writtenTerm = new long[shards];
-    this.relinquishedTerm = new long[shards];
-    this.observedTerm = new long[shards];
+    int shardCount = table.shardCount();
+    this.acquiredMicros = new long[shardCount];
+    this.writtenTerm = new long[shardCount];
+    this.relinquishedTerm = new long[shardCount];
+    this.observedTerm = new long[shardCount];
   }
 
-  /** A live view of the owned shards. */
+  /** Returns a live view of the owned shards. */
   Set<Integer> all() {
     return owned;
   }
@@ -48,49 +48,55 @@
     return owned.contains(shard);
   }
 
-  /** Whether a shard is owned and not on its way to another owner. */
+  /** Returns whether a shard is owned and neither being handed over nor relinquished. */
   boolean held(int shard) {
     return owned.contains(shard) && !handingOver.contains(shard);
   }
 
-  /** Whether the outcome of a transaction for a shard is unknown. */
+  /** Returns whether the outcome of a transaction for a shard is unknown. */
   boolean inDoubt(int shard) {
     return inDoubt.contains(shard);
   }
 
-  /** Whether a shard's key needs a new revision before this controller may act for it again. */
+  /**
+   * Returns whether a shard's key needs a new revision before this controller may act for the shard
+   * again.
+   */
   boolean needsNewRevision(int shard) {
     return inDoubt.contains(shard) || handingOver.contains(shard);
   }
 
-  /** Since when a shard has been owned. */
-  long sinceMicros(int shard) {
-    return sinceMicros[shard];
+  /** Returns when a shard was acquired or last got a new term, in microseconds. */
+  long acquiredMicros(int shard) {
+    return acquiredMicros[shard];
   }
 
-  /** A transaction for an owned shard got no answer. */
+  /** Records that a transaction for a shard got no answer; ignored if the shard is not owned. */
   void markInDoubt(int shard) {
     if (owned.contains(shard)) {
       inDoubt.add(shard);
     }
   }
 
-  /** Nothing of former transactions is in doubt any more. */
+  /** Records that no earlier transaction for a shard is in doubt any more. */
   void clearDoubt(int shard) {
     inDoubt.remove(shard);
   }
 
-  /** A transaction that hands the shard over is sent: no action for it until the outcome. */
+  /**
+   * Records that a transaction that hands a shard over was sent. This controller takes no action
+   * for the shard until the outcome is known.
+   */
   void beginHandOver(int shard) {
     handingOver.add(shard);
   }
 
-  /** The highest term that a shard may have, counting writes that got no answer. */
+  /** Returns the highest term that a shard may have, including writes that got no answer. */
   long highestTerm(int shard) {
     return Math.max(table.term(shard), writtenTerm[shard]);
   }
 
-  /** Stops acting for an owned shard under every term that it may have now. */
+  /** Stops acting for an owned shard under every term that the shard may have now. */
   void relinquish(int shard) {
     if (owned.contains(shard)) {
       handingOver.add(shard);
@@ -98,15 +104,19 @@
     }
   }
 
-  /** The term for a write of a shard's key, above those drawn and those relinquished. */
-  long nextTerm(int shard, long lastDrawn) {
-    writtenTerm[shard] = 1 + Math.max(lastDrawn, relinquishedTerm[shard]);
+  /**
+   * Returns the term for the next write of a shard's key and records it as written. It is above the
+   * last drawn term and above the relinquished terms.
+   */
+  long nextTerm(int shard, long lastDrawnTerm) {
+    writtenTerm[shard] = 1 + Math.max(lastDrawnTerm, relinquishedTerm[shard]);
     return writtenTerm[shard];
   }
 
   /**
-   * This controller's write of a shard's key was committed. A shard that was relinquished while the
-   * write was on its way stays so: the node in whose favour may take it under this term.
+   * Records that this controller's write of a shard's key was committed. A shard that was
+   * relinquished while the write was in transit stays relinquished, because the node in whose
+   * favour it was relinquished may take it under the written term.
    */
   void onWritten(int shard, long term) {
     if (term > relinquishedTerm[shard]) {
@@ -115,28 +125,32 @@
   }
 
   /**
-   * Compares the term of a shard whose key names this controller with those it knows: under an
-   * unknown term the shard may have been another's meanwhile, and is released.
+   * Compares the term of a shard whose key names this controller with the terms that this
+   * controller last observed and wrote. If the term is neither of them, another node may have owned
+   * the shard in between, and the shard is released.
    */
   void observeTerm(int shard) {
     long term = table.term(shard);
-    boolean unknown = term != observedTerm[shard] && term != writtenTerm[shard];
-    if (owned.contains(shard) && unknown) {
+    boolean unknownTerm = term != observedTerm[shard] && term != writtenTerm[shard];
+    if (owned.contains(shard) && unknownTerm) {
       release(shard);
     }
     observedTerm[shard] = term;
   }
 
-  /** A shard is owned now, or its doubts are settled; returns whether it was not owned before. */
+  /**
+   * Records that a shard is owned now, or that its transactions are no longer in doubt. Returns
+   * whether the shard was not owned before.
+   */
   boolean acquire(int shard, long nowMicros) {
-    boolean added = owned.add(shard);
-    sinceMicros[shard] = nowMicros;
-    LOG.info("shard acquired shard={} term={} new={}", shard, table.term(shard), added);
+    boolean newlyOwned = owned.add(shard);
+    acquiredMicros[shard] = nowMicros;
+    LOG.info("shard acquired shard={} term={} new={}", shard, table.term(shard), newlyOwned);
     listener.onAcquired(shard);
-    return added;
+    return newlyOwned;
   }
 
-  /** A shard is not owned any more; nothing happens if it was not. */
+  /** Records that a shard is no longer owned; does nothing if it was not owned. */
   void release(int shard) {
     if (owned.remove(shard)) {
       handingOver.remove(shard);
--- a/src/main/java/gladeknot/membership/ShardListener.java
+++ b/src/main/java/gladeknot/membership/ShardListener.java
@@ -1,16 +1,16 @@
 package gladeknot.membership;
 
-/** Is notified when this controller starts and stops owning a shard. */
+/** Receives notice when this controller acquires or releases a shard. */
 public interface ShardListener {
   /**
-   * The shard is owned under a new term, or again after an unclear transaction: its records have to
-   * be read anew.
+   * Called when the shard is owned under a new term, or when the outcome of a transaction in doubt
+   * is settled. The shard's records have to be read again.
    */
   void onAcquired(int shard);
 
-  /** The shard is not owned any more. */
+  /** Called when the shard is no longer owned. */
   void onReleased(int shard);
 
-  /** Whether no heartbeat has come from most of a shard's workers for the heartbeat timeout. */
+  /** Returns whether most of a shard's workers sent no heartbeat for the heartbeat timeout. */
   boolean mostWorkersTimedOut(int shard);
 }
--- a/src/main/java/gladeknot/membership/ShardTable.java
+++ b/src/main/java/gladeknot/membership/ShardTable.java
@@ -4,8 +4,8 @@
 import gladeknot.state.StateStore;
 
 /**
- * The shards' records as the watch cache shows them. Each is decoded once for each revision, since
- * terms are asked for with every heartbeat.
+ * The shards' records in the watch cache. Each record is decoded once for each revision, because
+ * every heartbeat looks up a term.
  */
 final class ShardTable {
   private final StateStore stateStore;
@@ -32,7 +32,7 @@
     return keys[shard];
   }
 
-  /** The record of a shard; never null. */
+  /** Returns the record of a shard; never null. */
   ShardRecord record(int shard) {
     Entry entry = stateStore.get(keys[shard]);
     if (entry != decodedEntries[shard]) {
@@ -42,7 +42,7 @@
     return records[shard];
   }
 
-  /** The revision of a shard's key; 0 if there is none. */
+  /** Returns the revision of a shard's key; 0 if the key does not exist. */
   long revision(int shard) {
     return stateStore.modRevision(keys[shard]);
   }
--- a/src/main/java/gladeknot/membership/ShardTransaction.java
+++ b/src/main/java/gladeknot/membership/ShardTransaction.java
@@ -13,19 +13,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The transaction that gives a shard's key a new owner, or the same owner a new term. One at a time
- * is in flight. It is conditional on the shard's key, on the counter of terms, and on this
- * controller's liveness key: a write of a former incarnation must not take anything.
+ * The transaction that writes a new owner, or a new term of the same owner, to a shard's key. At
+ * most one is in flight. The transaction is conditional on the shard's key, on the term counter,
+ * and on this controller's liveness key. The last condition keeps a delayed write of a former
+ * incarnation from taking a shard.
  */
 final class ShardTransaction {
   private static final Logger LOG = LoggerFactory.getLogger(ShardTransaction.class);
 
-  /** Until the next transaction after one that was not executed. */
-  private static final long BACK_OFF_MICROS = 400_000;
+  /** Backoff after a transaction that was not executed or got no answer, in microseconds. */
+  private static final long BACKOFF_MICROS = 400_000;
 
-  private static final int WRITES = 2;
+  /** Number of keys that the transaction writes: the shard's key and the term counter. */
+  private static final int WRITE_COUNT = 2;
 
-  /** Is notified when a transaction in this controller's favour is contained in the cache. */
+  /** Receives notice when the cache shows a transaction that made this controller the owner. */
   interface Listener {
     void onTaken(int shard);
   }
@@ -38,7 +40,7 @@
   private final Authority authority;
   private final Listener listener;
   private boolean inFlight;
-  private long backOffUntilMicros;
+  private long backoffUntilMicros;
   private long nowMicros;
 
   ShardTransaction(
@@ -58,27 +60,29 @@
     this.listener = listener;
   }
 
-  /** Advances the time; returns whether a transaction may be sent. */
-  boolean ready(long now) {
-    nowMicros = now;
-    return !inFlight && now >= backOffUntilMicros;
+  /** Sets the current time. Returns whether a transaction may be sent. */
+  boolean ready(long currentMicros) {
+    nowMicros = currentMicros;
+    return !inFlight && currentMicros >= backoffUntilMicros;
   }
 
   /**
-   * Sends the transaction, if authority and write tokens allow; returns whether it was sent.
+   * Sends the transaction if the authority permits it and write tokens are available. Returns
+   * whether it was sent.
    *
    * @param newOwner the node that is to own the shard
    * @param incarnation that node's incarnation
-   * @param extraConditions further keys with the revisions that they must have
+   * @param extraConditions required revisions of further keys, by key
    */
   boolean trySend(int shard, String newOwner, long incarnation, Map<String, Long> extraConditions) {
     if (!authority.permits(ControlAction.TRANSFER_SHARD, shard)
-        || !stateStore.tryAcquireWrites(WRITES, 0)) {
+        || !stateStore.tryAcquireWrites(WRITE_COUNT, 0)) {
       return false;
     }
     String counterKey = MembershipKeys.TERM_COUNTER;
-    long lastDrawn = MembershipCodec.termCounter(stateStore.get(counterKey));
-    ShardRecord record = new ShardRecord(newOwner, incarnation, shards.nextTerm(shard, lastDrawn));
+    long lastDrawnTerm = MembershipCodec.termCounter(stateStore.get(counterKey));
+    ShardRecord record =
+        new ShardRecord(newOwner, incarnation, shards.nextTerm(shard, lastDrawnTerm));
     Map<String, Long> conditions = new LinkedHashMap<>(extraConditions);
     conditions.put(table.key(shard), table.revision(shard));
     conditions.put(counterKey, stateStore.modRevision(counterKey));
@@ -109,14 +113,15 @@
   }
 
   private void backOff() {
-    backOffUntilMicros = nowMicros + BACK_OFF_MICROS;
+    backoffUntilMicros = nowMicros + BACKOFF_MICROS;
   }
 
   private void onCommitted(long revision, int shard, ShardRecord record) {
     LOG.info("shard transferred shard={} owner={} term={}", shard, record.owner(), record.term());
     shards.onWritten(shard, record.term());
     if (record.owner().equals(node)) {
-      // Earlier transactions in doubt are void now; wait until the cache holds all that were not.
+      // The new term voids earlier transactions in doubt that were not executed. Wait until the
+      // cache holds those that were.
       stateStore.whenRevisionReached(revision, () -> onTaken(shard, record.incarnation()));
     } else {
       inFlight = false;
--- a/src/main/java/gladeknot/membership/ShardTransfers.java
+++ b/src/main/java/gladeknot/membership/ShardTransfers.java
@@ -10,17 +10,26 @@
 import java.util.Optional;
 
 /**
- * Decides when shards change hands. Failover: this controller takes a shard once its owner's
- * liveness key is gone, or the owner has relinquished it in this controller's favour. Hand-over: it
- * gives an owned shard to a node that reaches the shard's workers when it does not. Return: it
- * gives an owned shard back to the shard's home.
+ * Decides on ownership transfers.
+ *
+ * <ul>
+ *   <li>Failover: this controller takes a shard once the owner's liveness key is gone or the owner
+ *       has relinquished the shard in this controller's favour.
+ *   <li>Handover: this controller gives an owned shard whose workers it can't reach to a node that
+ *       can reach them.
+ *   <li>Return: this controller gives an owned shard back to the shard's home.
+ * </ul>
  */
 final class ShardTransfers {
-  /** Between two looks at who owns what. */
-  private static final long INTERVAL_MICROS = 50_000;
+  /** Interval between two checks of the shards' owners, in microseconds. */
+  private static final long CHECK_INTERVAL_MICROS = 50_000;
 
-  /** How long a shard stays with the former delegate that its workers could reach. */
-  private static final long KEEP_MICROS = 45_000_000;
+  /**
+   * Minimum time, in microseconds, that a shard stays with a former delegate, which its workers
+   * could reach, before it returns home. A delegation that ended longer ago than this does not
+   * count.
+   */
+  private static final long FORMER_DELEGATE_RETENTION_MICROS = 45_000_000;
 
   private final String node;
   private final List<String> nodes;
@@ -34,8 +43,8 @@
   private final ShardListener listener;
   private final FailoverTimer failoverTimer;
   private final ShardTransaction transaction;
-  private final long[] keepUntilMicros;
-  private long nextStepMicros;
+  private final long[] retainUntilMicros;
+  private long nextCheckMicros;
   private long nowMicros;
 
   ShardTransfers(
@@ -61,69 +70,75 @@
     this.failoverTimer = new FailoverTimer(homeShard, nodes.size(), shards, advisor);
     this.transaction =
         new ShardTransaction(settings, stateStore, table, lease, shards, authority, this::acquire);
-    this.keepUntilMicros = new long[nodes.size()];
+    this.retainUntilMicros = new long[nodes.size()];
   }
 
-  /** Looks at the shards in turn, when it is time, until one needs a transaction. */
-  void tick(long now) {
-    nowMicros = now;
-    if (!transaction.ready(now) || now < nextStepMicros) {
+  /** Checks the shards in order, if a check is due, until one of them needs a transaction. */
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
+    if (!transaction.ready(currentMicros) || currentMicros < nextCheckMicros) {
       return;
     }
-    nextStepMicros = now + INTERVAL_MICROS;
+    nextCheckMicros = currentMicros + CHECK_INTERVAL_MICROS;
     for (int shard = 0; shard < nodes.size(); shard++) {
-      if (step(shard)) {
+      if (checkShard(shard)) {
         return;
       }
     }
   }
 
-  /** Looks at one shard; returns whether a transaction is in flight, or waits for tokens. */
-  private boolean step(int shard) {
+  /** Checks one shard. Returns whether the shard needs a transaction, sent or not. */
+  private boolean checkShard(int shard) {
     ShardRecord record = table.record(shard);
     if (record.isOwnedBy(node, lease.incarnation())) {
       return keepOrHandOver(shard);
     }
     shards.release(shard);
     if (!record.hasOwner() || node.equals(record.owner())) {
-      return claimWithoutOwner(shard, record);
+      return takeUnowned(shard, record);
     }
     if (StateLease.isAlive(stateStore, record.owner())) {
       failoverTimer.reset(shard);
-      return claimRelinquished(shard, record);
+      return takeRelinquished(shard, record);
     }
     return failOver(shard, record.owner());
   }
 
-  /** Takes a shard that never had an owner, or that a former life of this node owned. */
-  private boolean claimWithoutOwner(int shard, ShardRecord record) {
-    boolean due = record.hasOwner() || shard == homeShard || waited(shard);
-    return due && claim(shard, Map.of());
+  /** Takes a shard that never had an owner or was owned by a former incarnation of this node. */
+  private boolean takeUnowned(int shard, ShardRecord record) {
+    boolean due = record.hasOwner() || shard == homeShard || failoverDelayElapsed(shard);
+    return due && take(shard, Map.of());
   }
 
-  /** Takes a shard whose live owner lacks the state service and has ceased to act for it. */
-  private boolean claimRelinquished(int shard, ShardRecord record) {
+  /**
+   * Takes a shard whose live owner can't reach the state service and has relinquished the shard to
+   * this node.
+   */
+  private boolean takeRelinquished(int shard, ShardRecord record) {
     return advisor.relinquishedToThisNode(shard, record.incarnation(), record.term())
-        && claim(shard, Map.of());
+        && take(shard, Map.of());
   }
 
-  /** Takes a shard whose owner's lease has expired; its home does so at once. */
+  /** Takes a shard whose owner's lease has expired. The shard's home does so without delay. */
   private boolean failOver(int shard, String expiredOwner) {
-    boolean due = shard == homeShard || waited(shard);
-    return due && claim(shard, Map.of(MembershipKeys.liveness(expiredOwner), 0L));
+    boolean due = shard == homeShard || failoverDelayElapsed(shard);
+    return due && take(shard, Map.of(MembershipKeys.liveness(expiredOwner), 0L));
   }
 
-  private boolean waited(int shard) {
+  private boolean failoverDelayElapsed(int shard) {
     return failoverTimer.elapsed(shard, nowMicros);
   }
 
-  /** Sends the transaction if it may be sent; true in any case, so that it comes first. */
-  private boolean claim(int shard, Map<String, Long> extraConditions) {
+  /**
+   * Makes this node a shard's owner under a new term, by a transaction. Returns true even if the
+   * transaction may not be sent yet, so that the following shards are not checked before it.
+   */
+  private boolean take(int shard, Map<String, Long> extraConditions) {
     transaction.trySend(shard, node, lease.incarnation(), extraConditions);
     return true;
   }
 
-  /** Looks at an owned shard: renews its term to settle doubts, or hands it over. */
+  /** Checks an owned shard: draws a new term if its key needs a new revision, or hands it over. */
   private boolean keepOrHandOver(int shard) {
     shards.observeTerm(shard);
     if (!shards.contains(shard)) {
@@ -131,30 +146,33 @@
     }
     failoverTimer.reset(shard);
     if (shards.needsNewRevision(shard)) {
-      return claim(shard, Map.of());
+      return take(shard, Map.of());
     }
     Optional<String> successor = successor(shard);
     return successor.isPresent() && handOver(shard, successor.get());
   }
 
-  /** Hands a shard over, if the new owner is alive; returns whether that has to come first. */
+  /**
+   * Hands a shard over if the new owner is alive. Returns whether it is, even if the transaction
+   * may not be sent yet, so that the following shards are not checked before it.
+   */
   private boolean handOver(int shard, String successor) {
     String liveness = MembershipKeys.liveness(successor);
     Entry entry = stateStore.get(liveness);
     if (entry == null) {
       return false;
     }
-    // From here until the outcome is known no worker of the shard is answered, so that its new
-    // owner may count from the change of hands.
+    // Until the outcome is known, no worker of the shard is answered. The new owner may therefore
+    // count the workers' leases from the ownership transfer.
     long incarnation = MembershipCodec.liveness(entry).incarnation();
-    Map<String, Long> stillAlive = Map.of(liveness, entry.modRevision());
-    if (transaction.trySend(shard, successor, incarnation, stillAlive)) {
+    Map<String, Long> livenessCondition = Map.of(liveness, entry.modRevision());
+    if (transaction.trySend(shard, successor, incarnation, livenessCondition)) {
       shards.beginHandOver(shard);
     }
     return true;
   }
 
-  /** The node that should own a shard instead of this one, if there is one. */
+  /** Returns the node that should own a shard instead of this node, if there is one. */
   private Optional<String> successor(int shard) {
     Optional<String> delegate = delegations.otherDelegate(shard);
     if (delegate.isPresent() && listener.mostWorkersTimedOut(shard)) {
@@ -169,14 +187,14 @@
 
   private boolean mayReturnHome(int shard) {
     return shard != homeShard
-        && nowMicros >= keepUntilMicros[shard]
+        && nowMicros >= retainUntilMicros[shard]
         && advisor.mayReturnHome(shard, nodes.get(shard));
   }
 
   private void acquire(int shard) {
-    boolean wasDelegate = delegations.endOnAcquire(shard, KEEP_MICROS);
+    boolean wasDelegate = delegations.endOnAcquire(shard, FORMER_DELEGATE_RETENTION_MICROS);
     if (shards.acquire(shard, nowMicros) && wasDelegate) {
-      keepUntilMicros[shard] = nowMicros + KEEP_MICROS;
+      retainUntilMicros[shard] = nowMicros + FORMER_DELEGATE_RETENTION_MICROS;
     }
   }
 }
--- a/src/main/java/gladeknot/membership/StateLease.java
+++ b/src/main/java/gladeknot/membership/StateLease.java
@@ -14,23 +14,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's lease at the state service and the liveness key that is attached to it. The
- * lease's number is the controller's incarnation: each life of the process has one of its own.
+ * This controller's lease at the state service and the liveness key that is attached to the lease.
+ * The lease's number is the controller's incarnation, which is different for each life of the
+ * process.
  */
 final class StateLease {
   private static final Logger LOG = LoggerFactory.getLogger(StateLease.class);
 
+  /** Interval before a failed request, renewal or announcement is retried, in microseconds. */
   private static final long RETRY_MICROS = 400_000;
 
-  /** A lease is renewed, and the cache proved current, so many times in its length. */
+  /** Number of lease renewals, and of checks that the cache is current, for each lease duration. */
   private static final int RENEWALS_PER_LEASE = 8;
 
-  /** Until the next read barrier after one that failed. */
+  /** Interval before a failed read barrier is retried, in microseconds. */
   private static final long READ_RETRY_MICROS = 700_000;
 
   private static final long NO_LEASE = 0;
 
-  /** Is notified when a lease that was held has ended. */
+  /** Receives notice when a lease that was held has ended. */
   interface Listener {
     void onLost();
   }
@@ -51,7 +53,7 @@
   private boolean announcing;
   private long nowMicros;
 
-  /** A lease that has not been requested yet. */
+  /** Creates a lease that has not been requested yet. */
   StateLease(
       Settings settings,
       StateStore stateStore,
@@ -66,12 +68,12 @@
     this.listener = listener;
   }
 
-  /** Whether a controller's liveness key exists, by the watch cache. */
+  /** Returns whether a controller's liveness key exists in the watch cache. */
   static boolean isAlive(StateStore stateStore, String node) {
     return stateStore.get(MembershipKeys.liveness(node)) != null;
   }
 
-  /** How many controllers are alive, by the watch cache. */
+  /** Returns the number of controllers whose liveness keys exist in the watch cache. */
   static int aliveCount(StateStore stateStore) {
     return stateStore.withPrefix(MembershipKeys.LIVENESS_PREFIX).size();
   }
@@ -80,37 +82,40 @@
     nowMicros = micros;
   }
 
-  /** Whether the lease is held and announced, and what others did before has been read. */
+  /**
+   * Returns whether the lease is held and announced, and a read after the announcement has brought
+   * the cache up to date.
+   */
   boolean alive() {
     return alive;
   }
 
-  /** The number of the lease, which identifies this life of the controller; 0 without one. */
+  /** Returns the number of the lease, which identifies the incarnation; 0 without a lease. */
   long incarnation() {
     return leaseId;
   }
 
-  /** The liveness key of this controller. */
+  /** Returns this controller's liveness key. */
   String ownKey() {
     return ownKey;
   }
 
-  /** Whether the lease surely holds and the cache is recent enough to act on. */
-  boolean entitled() {
+  /** Returns whether the lease certainly holds and the cache is recent enough to act on. */
+  boolean mayAct() {
     return alive
-        && announced()
-        && nowMicros < times.actsUntilMicros(renewedMicros, stateStore.currentAsOfMicros());
+        && isAnnounced()
+        && nowMicros < times.mayActUntilMicros(renewedMicros, stateStore.currentAsOfMicros());
   }
 
-  /** Whether the liveness key exists under the present lease, by the watch cache. */
-  private boolean announced() {
+  /** Returns whether the watch cache shows the liveness key under the current lease. */
+  private boolean isAnnounced() {
     Entry entry = stateStore.get(ownKey);
     return leaseId != NO_LEASE
         && entry != null
         && MembershipCodec.liveness(entry).incarnation() == leaseId;
   }
 
-  /** Renews the lease and proves the cache current, each when it is time. */
+  /** Renews the lease and checks that the cache is current, each when due. */
   void tick() {
     checkAnnounced();
     abandonIfUnanswered();
@@ -123,8 +128,8 @@
       }
     }
     if (alive && nowMicros >= nextReadMicros) {
-      // The cache must be known to be current for as long as the lease is to hold: a lease that is
-      // renewed while the watch is stuck would hide a cancellation or a failover.
+      // The cache must be known to be current for as long as the lease is to hold. If the lease
+      // were renewed while the watch is stuck, a cancellation or a failover would go unnoticed.
       nextReadMicros = nowMicros + intervalMicros();
       stateStore.readBarrier(
           () -> {}, () -> nextReadMicros = Math.min(nextReadMicros, nowMicros + READ_RETRY_MICROS));
@@ -132,11 +137,11 @@
   }
 
   private void checkAnnounced() {
-    if (alive && !announced()) {
-      // Another write, or the end of the lease that it was attached to, removed it: the others may
-      // have taken this controller's shards since.
+    if (alive && !isAnnounced()) {
+      // Another write, or the end of the lease that the key was attached to, removed or replaced
+      // the key. Other controllers may have taken this controller's shards since then.
       LOG.info("liveness key lost node={} lease={}", node, leaseId);
-      end();
+      markLost();
       nextRenewMicros = nowMicros;
     }
   }
@@ -146,7 +151,7 @@
     if (leaseId != NO_LEASE && unanswered && advisor.abandonsLease()) {
       LOG.info("state lease abandoned lease={} reason=no-answer-for-a-whole-lease", leaseId);
       leaseId = NO_LEASE;
-      end();
+      markLost();
     }
   }
 
@@ -154,7 +159,7 @@
     return times.stateLeaseMicros() / RENEWALS_PER_LEASE;
   }
 
-  private void end() {
+  private void markLost() {
     alive = false;
     listener.onLost();
   }
@@ -177,12 +182,12 @@
 
   private void renew() {
     long sentMicros = nowMicros;
-    long renewed = leaseId;
+    long renewedLeaseId = leaseId;
     stateStore.renewLease(
-        renewed,
+        renewedLeaseId,
         renewal -> {
           renewing = false;
-          if (leaseId == renewed) {
+          if (leaseId == renewedLeaseId) {
             onRenewal(renewal, sentMicros);
           }
         });
@@ -200,7 +205,7 @@
       case EXPIRED -> {
         LOG.info("state lease expired lease={}", leaseId);
         leaseId = NO_LEASE;
-        end();
+        markLost();
         nextRenewMicros = nowMicros;
       }
       case UNKNOWN -> nextRenewMicros = nowMicros + RETRY_MICROS;
@@ -208,32 +213,34 @@
   }
 
   /**
-   * Writes the liveness key under the new lease, over one that a former life may have left. The
-   * write is conditional on what the cache shows: a former life's, executed late, must not take the
-   * key from this one, since it would vanish with the former lease, and the shards with it.
+   * Writes the liveness key under the new lease and replaces the key of a former incarnation, if
+   * there is one. The write is conditional on the key's revision in the cache. Without the
+   * condition, a delayed write of a former incarnation could replace this incarnation's key. The
+   * key would then be removed when the former lease ends, and this controller would lose its
+   * shards.
    */
   private void announce() {
     if (announcing) {
       return;
     }
     announcing = true;
-    long announced = leaseId;
-    if (announced()) {
-      awaitFreshCache(announced);
+    long announcedLeaseId = leaseId;
+    if (isAnnounced()) {
+      awaitFreshCache(announcedLeaseId);
       return;
     }
-    LivenessRecord record = new LivenessRecord(announced, StorageFormat.ANNOUNCED);
+    LivenessRecord record = new LivenessRecord(announcedLeaseId, StorageFormat.ANNOUNCED);
     stateStore.tryAcquireWrites(1, 0);
     stateStore.commit(
         Map.of(ownKey, stateStore.modRevision(ownKey)),
-        List.of(new Mutation(ownKey, MembershipCodec.encode(record), announced)),
-        outcome -> onAnnounced(outcome, announced));
+        List.of(new Mutation(ownKey, MembershipCodec.encode(record), announcedLeaseId)),
+        outcome -> onAnnounced(outcome, announcedLeaseId));
   }
 
-  private void onAnnounced(CommitOutcome outcome, long announced) {
-    boolean current = announced == leaseId;
+  private void onAnnounced(CommitOutcome outcome, long announcedLeaseId) {
+    boolean current = announcedLeaseId == leaseId;
     if (outcome.status() == CommitStatus.COMMITTED && current) {
-      awaitFreshCache(announced);
+      awaitFreshCache(announcedLeaseId);
       return;
     }
     announcing = false;
@@ -245,12 +252,15 @@
     }
   }
 
-  /** What others did while the key was missing must be in the cache before this node acts. */
-  private void awaitFreshCache(long announced) {
+  /**
+   * Waits until the cache shows what other controllers did while the liveness key was missing,
+   * before this controller acts.
+   */
+  private void awaitFreshCache(long announcedLeaseId) {
     stateStore.readBarrier(
         () -> {
           announcing = false;
-          if (announced == leaseId && announced()) {
+          if (announcedLeaseId == leaseId && isAnnounced()) {
             alive = true;
             LOG.info("controller alive node={} lease={}", node, leaseId);
           } else {
--- a/src/main/java/gladeknot/membership/StorageFormat.java
+++ b/src/main/java/gladeknot/membership/StorageFormat.java
@@ -15,32 +15,38 @@
 /**
  * The format in which records are stored, agreed on by all controllers.
  *
- * <p>The first version writes no mark. Later ones announce their format with their liveness key.
- * Once all members do, and each shard is owned by such an incarnation of a member, one of them
- * commits the mark, conditional on all those keys: from then on no process of the first version
- * runs, and no transaction that one of them may have sent can still be executed, since each is
- * conditional on a shard's key that has changed since. Every write of slices is conditional on the
- * mark's revision.
+ * <p>The first version of this program writes no storage format. Later versions announce their
+ * format with their liveness key. Once all members do, and each shard is owned by a live
+ * incarnation of a member, one member commits the storage format, conditional on all their liveness
+ * and shard keys. From then on, no process of the first version runs. No transaction that such a
+ * process may have sent can still be executed, because each is conditional on a shard's key that
+ * has changed since. Every write of slices is conditional on the revision of the storage format.
  *
- * <p>A mark comes into force here once the watch has reached its revision. The copy of the state
- * shows this controller's own commit earlier, ahead of other controllers' records that were
- * committed before it under the former layout: until they are seen, the absence of a record under
- * the new layout says nothing.
+ * <p>A storage format comes into force in this controller once the watch has reached its revision.
+ * The watch cache shows this controller's own commit earlier, ahead of records that other
+ * controllers committed before it under the former layout. Until the watch has delivered those
+ * records, the absence of a record under the new layout proves nothing.
  */
 public final class StorageFormat {
   private static final Logger LOG = LoggerFactory.getLogger(StorageFormat.class);
 
-  /** The format that this version announces. */
+  /** Format that this version announces. */
   static final int ANNOUNCED = 2;
 
-  /** Between two attempts to commit the mark. */
-  private static final long INTERVAL_MICROS = 1_000_000;
+  /** Interval between two attempts to commit the storage format, in microseconds. */
+  private static final long COMMIT_INTERVAL_MICROS = 1_000_000;
 
-  /** After a split, until it is known whether it was enough: records migrate meanwhile. */
+  /**
+   * Minimum interval between two segment splits, in microseconds. Records migrate after a split,
+   * and only then is it known whether the split was enough.
+   */
   private static final long SPLIT_INTERVAL_MICROS = 10_000_000;
 
-  /** Keeps segment numbers small; with it a shard holds some hundred thousand tasks at once. */
-  private static final int MAX_SPLIT = 256;
+  /**
+   * Maximum segment split. It keeps segment numbers small and lets a shard hold some hundred
+   * thousand tasks at once.
+   */
+  private static final int MAX_SEGMENT_SPLIT = 256;
 
   private final List<String> nodes;
   private final boolean firstMember;
@@ -48,19 +54,19 @@
   private final TransactionLimits limits;
   private final ShardTable table;
 
-  /** The newest mark in the copy; perhaps not in force yet. */
-  private Entry newestMark;
+  /** Newest storage format in the watch cache; may not be in force yet. */
+  private Entry newestEntry;
 
-  /** The mark in force. */
-  private Entry mark;
+  /** Storage format in force; null while there is none. */
+  private Entry entryInForce;
 
   private int segmentSplit = 1;
-  private boolean writing;
+  private boolean commitInFlight;
   private boolean segmentFull;
   private long nextAttemptMicros;
   private long nextSplitMicros;
 
-  /** The format as the watch cache shows it; without a mark it is the first version's. */
+  /** Creates the storage format of the first version, which applies until one is stored. */
   StorageFormat(
       Settings settings, StateStore stateStore, TransactionLimits limits, ShardTable table) {
     this.nodes = settings.nodes();
@@ -70,26 +76,27 @@
     this.table = table;
   }
 
-  /** The key of the mark. */
+  /** Returns the key of the storage format. */
   public static String key() {
     return MembershipKeys.FORMAT;
   }
 
-  /** The mark has changed in the copy. */
+  /** Called when the storage format has changed in the watch cache. */
   public void onChange() {
-    newestMark = stateStore.get(MembershipKeys.FORMAT);
+    newestEntry = stateStore.get(MembershipKeys.FORMAT);
     onRevisionReached();
   }
 
-  /** The watch has reached a new revision: a mark up to it comes into force. */
+  /** Called when the watch has reached a new revision: a storage format up to it takes effect. */
   public void onRevisionReached() {
-    boolean reached = newestMark == null || newestMark.modRevision() <= stateStore.revision();
-    if (!isSuperseded() || !reached) {
+    boolean revisionReached =
+        newestEntry == null || newestEntry.modRevision() <= stateStore.revision();
+    if (!isSuperseded() || !revisionReached) {
       return;
     }
-    mark = newestMark;
-    // Decoded once: the split is asked for far too often.
-    segmentSplit = mark == null ? 1 : MembershipCodec.format(mark).segmentSplit();
+    entryInForce = newestEntry;
+    // Decoded once, because the split is looked up very often.
+    segmentSplit = entryInForce == null ? 1 : MembershipCodec.format(entryInForce).segmentSplit();
     segmentFull = false;
     LOG.info(
         "storage format in force segmentSplit={} mark_revision={} copy_revision={}",
@@ -98,59 +105,65 @@
         stateStore.revision());
   }
 
-  /** Whether the copy shows a newer mark than the one in force: what relies on that would fail. */
+  /**
+   * Returns whether the watch cache shows a newer storage format than the one in force. A
+   * transaction that is conditional on the one in force would then fail.
+   */
   public boolean isSuperseded() {
-    return newestMark != mark;
+    return newestEntry != entryInForce;
   }
 
-  /** The revision of the mark on which the other methods rest; 0 while there is none. */
+  /** Returns the revision of the storage format in force; 0 while there is none. */
   public long revision() {
-    return mark == null ? 0 : mark.modRevision();
+    return entryInForce == null ? 0 : entryInForce.modRevision();
   }
 
-  /** Whether all members are known to run this version or a later one. */
+  /** Returns whether all members are known to run this version or a later one. */
   public boolean agreed() {
-    return mark != null;
+    return entryInForce != null;
   }
 
-  /** How many segments each of the first version's segments of a shard is split into. */
+  /** Returns the number of segments that each of the first version's segments is split into. */
   public int segmentSplit() {
     return segmentSplit;
   }
 
   /**
-   * Notes that a segment can't hold tasks that there are machines for: how many tasks can run must
-   * not be bounded by the largest value of the state service.
+   * Records that a segment is too full to hold tasks that there are machines for. Segments are then
+   * split, so that the size limit of a stored value does not bound the number of running tasks.
    */
   public void reportSegmentFull() {
     segmentFull = true;
   }
 
-  /** Commits the mark once it may be; the first member in the settings does. */
+  /**
+   * Commits the storage format once its conditions are met, and again if a larger segment split is
+   * needed; only the first member in the settings does so. Any member splits full segments.
+   */
   void tick(long nowMicros) {
-    if (writing || isSuperseded()) {
+    if (commitInFlight || isSuperseded()) {
       return;
     }
     if (agreed()) {
       limits.onAllMembersUpgraded();
       splitFullSegments(nowMicros);
     }
-    boolean wanted = !agreed() || segmentSplit < limits.targetSegmentSplit();
-    if (!firstMember || writing || nowMicros < nextAttemptMicros || !wanted) {
+    boolean commitNeeded = !agreed() || segmentSplit < limits.targetSegmentSplit();
+    if (!firstMember || commitInFlight || nowMicros < nextAttemptMicros || !commitNeeded) {
       return;
     }
-    nextAttemptMicros = nowMicros + INTERVAL_MICROS;
-    Optional<Map<String, Long>> upgraded = revisionsIfAllUpgraded();
-    if (upgraded.isPresent() && stateStore.tryAcquireWrites(1, 0)) {
-      Map<String, Long> conditions = upgraded.get();
+    nextAttemptMicros = nowMicros + COMMIT_INTERVAL_MICROS;
+    Optional<Map<String, Long>> upgradedRevisions = revisionsIfAllUpgraded();
+    if (upgradedRevisions.isPresent() && stateStore.tryAcquireWrites(1, 0)) {
+      Map<String, Long> conditions = upgradedRevisions.get();
       conditions.put(MembershipKeys.FORMAT, revision());
       commit(limits.targetSegmentSplit(), conditions);
     }
   }
 
-  /** Splits all segments in two; any member may, on condition that no other has. */
+  /** Splits all segments in two, on condition that no other member has done so. */
   private void splitFullSegments(long nowMicros) {
-    if (!segmentFull || nowMicros < nextSplitMicros || segmentSplit >= MAX_SPLIT) {
+    if (!segmentFull || nowMicros < nextSplitMicros || segmentSplit >= MAX_SEGMENT_SPLIT) {
       return;
     }
     if (stateStore.tryAcquireWrites(1, 0)) {
@@ -161,13 +174,13 @@
   }
 
   private void commit(int split, Map<String, Long> conditions) {
-    writing = true;
+    commitInFlight = true;
     FormatRecord record = new FormatRecord(ANNOUNCED, split);
     stateStore.commit(
         conditions,
         List.of(Mutation.put(MembershipKeys.FORMAT, MembershipCodec.encode(record))),
         outcome -> {
-          writing = false;
+          commitInFlight = false;
           LOG.info(
               "storage format committed format={} segmentSplit={} status={} revision={}"
                   + " copy_revision={}",
@@ -179,15 +192,18 @@
         });
   }
 
-  /** The revisions of all liveness and shard keys, if this version wrote all of them. */
+  /**
+   * Returns the revisions of all liveness and shard keys, if all members announce this version's
+   * format or a later one and their live incarnations own all shards.
+   */
   private Optional<Map<String, Long>> revisionsIfAllUpgraded() {
     Map<String, Long> revisions = new LinkedHashMap<>();
     for (String node : nodes) {
-      Entry alive = stateStore.get(MembershipKeys.liveness(node));
-      if (alive == null || MembershipCodec.liveness(alive).format() < ANNOUNCED) {
+      Entry liveness = stateStore.get(MembershipKeys.liveness(node));
+      if (liveness == null || MembershipCodec.liveness(liveness).format() < ANNOUNCED) {
         return Optional.empty();
       }
-      revisions.put(MembershipKeys.liveness(node), alive.modRevision());
+      revisions.put(MembershipKeys.liveness(node), liveness.modRevision());
     }
     for (int shard = 0; shard < nodes.size(); shard++) {
       if (!isOwnedByLiveIncarnation(table.record(shard))) {
@@ -202,7 +218,8 @@
     if (!record.hasOwner()) {
       return false;
     }
-    Entry alive = stateStore.get(MembershipKeys.liveness(record.owner()));
-    return alive != null && record.incarnation() == MembershipCodec.liveness(alive).incarnation();
+    Entry liveness = stateStore.get(MembershipKeys.liveness(record.owner()));
+    return liveness != null
+        && record.incarnation() == MembershipCodec.liveness(liveness).incarnation();
   }
 }
--- a/src/test/java/gladeknot/membership/LeaseTimesTest.java
+++ b/src/test/java/gladeknot/membership/LeaseTimesTest.java
@@ -30,13 +30,15 @@
     assertTrue(times.longestAfterCancelMicros() < micros(cancel) - 2_500_000);
     // A worker that was answered at the last moment that its controller's clock allows keeps its
     // tasks, by its own slow clock, for less than the time of a cancellation.
-    long answers = times.actsUntilMicros(1_000_000, 0);
+    long answers = times.mayActUntilMicros(1_000_000, 0);
     assertTrue(answers * TWO_DRIFTING_CLOCKS < times.stateLeaseMicros());
-    assertEquals(answers, times.actsUntilMicros(0, 1_000_000));
+    assertEquals(answers, times.mayActUntilMicros(0, 1_000_000));
     assertTrue((answers + micros(lease)) * TWO_DRIFTING_CLOCKS < micros(cancel));
     // Nobody takes a lease as lapsed before it has, nor a delegation as over while it is used.
     assertTrue(times.expiredAfterMicros() > micros(lease) * TWO_DRIFTING_CLOCKS);
-    assertTrue(times.delegatedUntilMicros(0) > times.delegateUntilMicros(0) * TWO_DRIFTING_CLOCKS);
+    assertTrue(
+        times.delegationExpiredAtMicros(0)
+            > times.delegateMayActUntilMicros(0) * TWO_DRIFTING_CLOCKS);
   }
 
   private static long micros(double seconds) {
