--- a/src/main/java/gladeknot/quota/DeficitAnnouncer.java
+++ b/src/main/java/gladeknot/quota/DeficitAnnouncer.java
@@ -10,15 +10,18 @@
 
 /** Announces the deficits of the owned shards to the other controllers. */
 final class DeficitAnnouncer {
-  /** Announcements may get lost: those of deficits that last are repeated after this. */
-  private static final long REPEAT_MICROS = 1_000_000;
+  /**
+   * Interval at which announcements of deficits that persist are repeated, in microseconds, because
+   * announcements may get lost.
+   */
+  private static final long REPEAT_INTERVAL_MICROS = 1_000_000;
 
   private final String node;
   private final Membership membership;
   private final ShardDeficits deficits;
   private final Outbox outbox;
   private final Map<Integer, Map<String, ResourceAmount>> announced = new HashMap<>();
-  private long repeatAtMicros;
+  private long nextRepeatMicros;
 
   DeficitAnnouncer(String node, Membership membership, ShardDeficits deficits, Outbox outbox) {
     this.node = node;
@@ -27,20 +30,20 @@
     this.outbox = outbox;
   }
 
-  /** Announces the deficits of an owned shard if they have changed, or last and are due again. */
+  /** Announces the deficits of an owned shard if they have changed or a repetition is due. */
   void announce(int shard, long nowMicros) {
-    Map<String, ResourceAmount> byTeam = deficits.ofShard(shard);
-    boolean changed = !byTeam.equals(announced.get(shard));
-    boolean repeat = !byTeam.isEmpty() && nowMicros >= repeatAtMicros;
-    if (!changed && !repeat) {
+    Map<String, ResourceAmount> deficitsByTeam = deficits.ofShard(shard);
+    boolean changed = !deficitsByTeam.equals(announced.get(shard));
+    boolean repetitionDue = !deficitsByTeam.isEmpty() && nowMicros >= nextRepeatMicros;
+    if (!changed && !repetitionDue) {
       return;
     }
-    repeatAtMicros = nowMicros + REPEAT_MICROS;
-    announced.put(shard, Map.copyOf(byTeam));
-    List<PeerMessage.QuotaDeficit> message = new ArrayList<>();
-    byTeam.forEach(
+    nextRepeatMicros = nowMicros + REPEAT_INTERVAL_MICROS;
+    announced.put(shard, Map.copyOf(deficitsByTeam));
+    List<PeerMessage.QuotaDeficit> announcement = new ArrayList<>();
+    deficitsByTeam.forEach(
         (team, amount) ->
-            message.add(new PeerMessage.QuotaDeficit(team, amount.cpus(), amount.gpus())));
-    outbox.sendToPeers(PeerMessage.ofDeficits(node, shard, membership.term(shard), message));
+            announcement.add(new PeerMessage.QuotaDeficit(team, amount.cpus(), amount.gpus())));
+    outbox.sendToPeers(PeerMessage.ofDeficits(node, shard, membership.term(shard), announcement));
   }
 }
--- a/src/main/java/gladeknot/quota/QuotaAdmission.java
+++ b/src/main/java/gladeknot/quota/QuotaAdmission.java
@@ -7,7 +7,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Asks the ledger once more when starts are committed, and has awaited ends committed at once. */
+/**
+ * Checks starts against the ledger again when they are committed, and has ends for which a team's
+ * deficit waits committed at once.
+ */
 final class QuotaAdmission implements StartAdmission {
   private static final Logger LOG = LoggerFactory.getLogger(QuotaAdmission.class);
 
@@ -15,11 +18,14 @@
   private final ShardDeficits deficits;
   private final QuotaCounters counters;
 
-  /** What was asked of the ledger. */
-  private record Question(String team, int shard, boolean withGpus) {}
+  /** The starts that the ledger treats alike within one batch. */
+  private record CheckKey(String team, int shard, boolean withGpus) {}
 
-  /** What the present batch may contain: what it leaves out only makes more available. */
-  private final Set<Question> covered = new HashSet<>();
+  /**
+   * Checks that the ledger has passed for the current batch. They hold for the whole batch, because
+   * starts that the batch leaves out only make more quota available.
+   */
+  private final Set<CheckKey> passedChecks = new HashSet<>();
 
   QuotaAdmission(QuotaLedger ledger, ShardDeficits deficits, QuotaCounters counters) {
     this.ledger = ledger;
@@ -29,18 +35,18 @@
 
   @Override
   public void beginBatch() {
-    covered.clear();
+    passedChecks.clear();
   }
 
   @Override
   public boolean admits(Slice slice) {
-    Question question = new Question(slice.team(), slice.shard(), slice.gpus() > 0);
-    if (covered.contains(question)) {
+    CheckKey checkKey = new CheckKey(slice.team(), slice.shard(), slice.gpus() > 0);
+    if (passedChecks.contains(checkKey)) {
       return true;
     }
     boolean admitted = ledger.coversStarts(slice);
     if (admitted) {
-      covered.add(question);
+      passedChecks.add(checkKey);
     } else {
       counters.count(QuotaCounters.Event.STARTS_REFUSED);
       LOG.info(
--- a/src/main/java/gladeknot/quota/QuotaAllocator.java
+++ b/src/main/java/gladeknot/quota/QuotaAllocator.java
@@ -19,9 +19,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Divides the teams' limits among the shards. The sum of a team's shares never exceeds its limit; a
- * shard's share is made smaller by that shard's owner alone, who knows what is used, and what it
- * transfers goes to shards with a deficit.
+ * Divides the teams' limits among the shards. The sum of a team's shares never exceeds its limit.
+ * Only the owner of a shard, which knows the shard's usage, makes the shard's share smaller. It
+ * transfers quota to shards with a deficit.
  */
 public final class QuotaAllocator {
   private static final Logger LOG = LoggerFactory.getLogger(QuotaAllocator.class);
@@ -41,7 +41,7 @@
   private long nextMicros;
   private long nowMicros;
 
-  /** An allocator by the shares that the state store's copy shows. */
+  /** Creates an allocator for the shares that the watch cache shows. */
   public QuotaAllocator(
       Settings settings,
       StateStore stateStore,
@@ -60,19 +60,21 @@
     this.correction = new ShareCorrection(membership, ledger, changes, deficits, counters);
   }
 
-  /** What a shard may still start for a team; less than nothing if its share is exceeded. */
+  /**
+   * Returns the amount that a shard may still start for a team; negative if it exceeds its share.
+   */
   public ResourceAmount available(String team, int shard) {
     return ledger.available(team, shard);
   }
 
-  /** What a team may still start over all shards. */
+  /** Returns the amount that a team may still start over all shards. */
   public ResourceAmount clusterHeadroom(String team) {
     return ledger.clusterHeadroom(team);
   }
 
   /**
-   * Whether a start that a former owner of a shard committed is not to be repeated, as the tasks
-   * that may be on machines exceed the share; counts that.
+   * Returns whether a start that a former owner of a shard committed must not be repeated, because
+   * the tasks that may be on machines exceed the share. Counts each such answer.
    */
   public boolean withholdsRestart(String team, int shard) {
     boolean exceeded = ledger.isExceeded(team, shard);
@@ -82,17 +84,20 @@
     return exceeded;
   }
 
-  /** Whether tasks of a team wait for quota that an end in an owned shard would make free. */
+  /**
+   * Returns whether tasks of a team wait for quota that the end of a task in an owned shard would
+   * free.
+   */
   public boolean isShort(String team) {
     return deficits.containsAnywhere(team);
   }
 
-  /** What decides on starts again when they are committed. */
+  /** Returns the check that decides on starts again when they are committed. */
   public StartAdmission admission() {
     return new QuotaAdmission(ledger, deficits, counters);
   }
 
-  /** Logs, for debugging, on what tasks of a job were started in a shard. */
+  /** Logs, at debug level, the quota figures by which tasks of a job were started in a shard. */
   public void logDecision(JobSpec spec, int shard, int tasks) {
     if (LOG.isDebugEnabled()) {
       LOG.debug(
@@ -110,60 +115,65 @@
     }
   }
 
-  /** What an operator is shown: shares, usage and counts. */
+  /** Returns the shares, usage and counts for the operators' status. */
   public Map<String, Object> status() {
     return QuotaStatus.of(settings, membership, ledger, counters);
   }
 
-  /** How often the shard's or the record's bound was found violated. */
+  /** Returns the number of violations found of a shard's share or of a team's limit. */
   public long violations() {
     return counters.get(QuotaCounters.Event.SHARE_VIOLATIONS)
         + counters.get(QuotaCounters.Event.RECORD_VIOLATIONS);
   }
 
-  /** A new scheduling cycle of a shard begins: its deficits and reservations are found anew. */
+  /**
+   * Clears a shard's deficits and reservations, which the next scheduling cycle determines again.
+   */
   public void beginPass(int shard) {
     deficits.clear(shard);
     transfers.clearReservations(shard);
   }
 
-  /** Adds what a shard's share of a team lacks for tasks that there are resources for. */
+  /** Adds an amount that a shard's share of a team lacks for tasks that machines have room for. */
   public void reportDeficit(String team, int shard, ResourceAmount amount) {
     deficits.add(team, shard, amount);
   }
 
-  /** Keeps an amount for tasks that will be started when others have stopped. */
+  /** Reserves an amount for tasks that are to start once other tasks have stopped. */
   public void reserve(String team, int shard, ResourceAmount amount) {
     transfers.reserve(team, shard, amount);
   }
 
-  /** Takes in the deficits of another controller's shard; those of an earlier owner are ignored. */
+  /**
+   * Applies the deficits that another controller announced for its shard. Announcements for owned
+   * shards and under other terms than the current one, as by an earlier owner, are ignored.
+   */
   public void onPeerMessage(PeerMessage message) {
     if (message.shard() >= membership.shardCount()
         || message.term() != membership.term(message.shard())
         || membership.ownedShards().contains(message.shard())) {
       return;
     }
-    Map<String, ResourceAmount> byTeam = new HashMap<>();
+    Map<String, ResourceAmount> deficitsByTeam = new HashMap<>();
     for (PeerMessage.QuotaDeficit deficit : message.deficits()) {
-      byTeam.put(deficit.team(), new ResourceAmount(deficit.cpus(), deficit.gpus()));
+      deficitsByTeam.put(deficit.team(), new ResourceAmount(deficit.cpus(), deficit.gpus()));
     }
-    deficits.replace(message.shard(), byTeam, nowMicros);
+    deficits.replace(message.shard(), deficitsByTeam, nowMicros);
     nextMicros = 0;
   }
 
-  /** Announces deficits and transfers quota when it is time. */
-  public void tick(long now) {
-    nowMicros = now;
-    changes.tick(now);
-    counters.tick(now);
-    if (now < nextMicros || !stateStore.loaded()) {
+  /** Announces deficits and changes shares, each when due. */
+  public void tick(long currentMicros) {
+    nowMicros = currentMicros;
+    changes.tick(currentMicros);
+    counters.tick(currentMicros);
+    if (currentMicros < nextMicros || !stateStore.loaded()) {
       return;
     }
-    monitor.tick(now);
-    nextMicros = now + INTERVAL_MICROS;
+    monitor.tick(currentMicros);
+    nextMicros = currentMicros + INTERVAL_MICROS;
     for (int shard : membership.ownedShards()) {
-      announcer.announce(shard, now);
+      announcer.announce(shard, currentMicros);
     }
     for (Settings.Team team : settings.teams().values()) {
       if (changes.permits(team.name())) {
@@ -189,9 +199,9 @@
   }
 
   /**
-   * Creates a team's record, with even shares whose sum is the limit; without shares if tasks of
-   * the team are on machines already, as when it had no limit until now: who uses how much is
-   * written by the shards' owners then.
+   * Creates a team's record, with even shares whose sum is the limit. If shards already hold tasks
+   * of the team, as when it had no limit until now, all shares are unproven, and each shard's owner
+   * writes what its shard uses.
    */
   private void createRecord(Settings.Team team) {
     int shard = membership.homeShard();
--- a/src/main/java/gladeknot/quota/QuotaChanges.java
+++ b/src/main/java/gladeknot/quota/QuotaChanges.java
@@ -13,12 +13,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Commits changes of the teams' quota records, with a pause between two changes of one record. */
+/** Commits changes of the teams' quota records, with a pause after each change of a record. */
 final class QuotaChanges {
   private static final Logger LOG = LoggerFactory.getLogger(QuotaChanges.class);
 
-  /** Between two changes of one team's shares: the effect of the first must be seen before. */
-  private static final long PAUSE_MICROS = 700_000;
+  /**
+   * Pause between two changes of one team's shares, in microseconds. The effect of the first change
+   * must be visible before the next one is decided.
+   */
+  private static final long CHANGE_PAUSE_MICROS = 700_000;
 
   private final StateStore stateStore;
   private final Membership membership;
@@ -42,12 +45,12 @@
     this.counters = counters;
   }
 
-  /** Sets the time from which pauses are counted. */
-  void tick(long now) {
-    nowMicros = now;
+  /** Sets the current time, by which pauses are measured. */
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
   }
 
-  /** Whether a team's record may be changed now. */
+  /** Returns whether a team's record may be changed now. */
   boolean permits(String team) {
     return !inFlight.contains(team) && nowMicros >= pausedUntilMicros.getOrDefault(team, 0L);
   }
@@ -58,24 +61,25 @@
   }
 
   /**
-   * Commits a record in which the shard's own share is smaller by an amount that it doesn't use.
+   * Commits a record in which the share of an owned shard is smaller by an amount that the shard
+   * does not use.
    */
   void shrink(String team, int shard, QuotaRecord record, ResourceAmount amount) {
-    // Asked again when the change is sent, perhaps after the shard was another's for a while.
-    BooleanSupplier unused =
+    // Checked again when the change is sent: the shard may have had another owner in between.
+    BooleanSupplier shareCoversChange =
         () -> {
-          ResourceAmount left = ledger.unused(team, shard);
-          return left.cpus() >= 0 && left.gpus() >= 0;
+          ResourceAmount unusedAmount = ledger.unused(team, shard);
+          return unusedAmount.cpus() >= 0 && unusedAmount.gpus() >= 0;
         };
-    commit(team, shard, record, amount, unused);
+    commit(team, shard, record, amount, shareCoversChange);
   }
 
-  /** Commits a record in which the shard's own share is larger, by what no shard has. */
+  /** Commits a record in which the share of an owned shard grows by quota assigned to no shard. */
   void grow(String team, int shard, QuotaRecord record) {
     commit(team, shard, record, ResourceAmount.NONE, () -> true);
   }
 
-  /** Commits a record in which the shard's unproven share is what it uses. */
+  /** Commits a record in which the unproven share of an owned shard becomes the shard's usage. */
   void prove(String team, int shard, QuotaRecord record) {
     ResourceAmount proven = record.share(shard);
     commit(
@@ -106,7 +110,7 @@
 
   private void onOutcome(String team, int shard, ResourceAmount transferred, boolean committed) {
     inFlight.remove(team);
-    pausedUntilMicros.put(team, nowMicros + PAUSE_MICROS);
+    pausedUntilMicros.put(team, nowMicros + CHANGE_PAUSE_MICROS);
     ledger.endTransfer(team, shard);
     if (!committed) {
       counters.count(QuotaCounters.Event.CHANGES_FAILED);
--- a/src/main/java/gladeknot/quota/QuotaCounters.java
+++ b/src/main/java/gladeknot/quota/QuotaCounters.java
@@ -5,26 +5,26 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts what happened to quota since the controller started, and logs the counts at intervals. */
+/** Counts quota events since the controller started, and logs the counts at intervals. */
 final class QuotaCounters {
   private static final Logger LOG = LoggerFactory.getLogger(QuotaCounters.class);
   private static final long LOG_INTERVAL_MICROS = 60_000_000;
 
-  /** What is counted. */
+  /** The counted events. */
   enum Event {
-    /** A slice's starts were dropped as the share does not cover them when they are committed. */
+    /** A slice's starts were dropped because the share did not cover them at the commit. */
     STARTS_REFUSED,
-    /** A start that a former owner committed was not repeated, as the share is exceeded. */
+    /** A start that a former owner committed was not repeated because the share was exceeded. */
     RUNS_WITHHELD,
     TRANSFERS_STARTED,
     TRANSFERS_COMMITTED,
-    /** A change of a team's record was not committed, as something had changed since. */
+    /** A change of a team's record was not committed, because its preconditions no longer held. */
     CHANGES_FAILED,
-    /** Shares were made smaller or larger, as they did not add up to the limit. */
+    /** A share was corrected because it was unproven or the shares did not add up to the limit. */
     CORRECTIONS,
     /** A shard was found to use more than its share. */
     SHARE_VIOLATIONS,
-    /** A team's shares were found to add up to more than its limit, or not to be amounts. */
+    /** A team's shares were found to add up to more than its limit, or to be unproven. */
     RECORD_VIOLATIONS
   }
 
@@ -40,7 +40,7 @@
     return counts.getOrDefault(event, 0L);
   }
 
-  /** Logs the counts if it is time and they have changed. */
+  /** Logs the counts if a log line is due and they have changed. */
   void tick(long nowMicros) {
     if (nowMicros < nextLogMicros) {
       return;
--- a/src/main/java/gladeknot/quota/QuotaLedger.java
+++ b/src/main/java/gladeknot/quota/QuotaLedger.java
@@ -12,15 +12,15 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What each shard may use for each team, what it uses, and what is left: the one place that says
+ * Computes each shard's share, usage and available quota for each team. Only this class decides
  * whether a shard may start tasks of a team.
  *
  * <p>An amount is used from the decision to start a task until the task's end is committed. Until
- * then the shard's record holds the attempt, and whoever owns the shard next may start it again.
+ * then the shard's record holds the attempt, and the next owner of the shard may start it again.
  */
 final class QuotaLedger {
-  /** A shard's share of what its team has no limit of; the sum over all shards fits a long. */
-  private static final long UNLIMITED = Long.MAX_VALUE >> 20;
+  /** Share of a resource that the team has no limit of; the sum over all shards fits a long. */
+  private static final long UNLIMITED_SHARE = Long.MAX_VALUE >> 20;
 
   private final Settings settings;
   private final StateStore stateStore;
@@ -40,7 +40,7 @@
     this.slices = slices;
   }
 
-  /** A team's record as the cached state has it; empty if there is none. */
+  /** Returns a team's record in the watch cache; empty if there is none. */
   Optional<QuotaRecord> record(String team) {
     Entry entry = stateStore.get(QuotaRecordCodec.key(team));
     if (entry == null) {
@@ -55,17 +55,20 @@
     return Optional.of(decoded.record());
   }
 
-  /** The revision of a team's record in the cached state; 0 if there is none. */
+  /** Returns the revision of a team's record in the watch cache; 0 if there is none. */
   long recordRevision(String team) {
     return stateStore.modRevision(QuotaRecordCodec.key(team));
   }
 
-  /** A shard's share as the team's record has it; none if the record does not prove any. */
+  /** Returns a shard's share in the team's record; zero if it is unproven or there is no record. */
   ResourceAmount committedShare(String team, int shard) {
     return record(team).map(record -> record.share(shard)).orElse(ResourceAmount.NONE);
   }
 
-  /** What a shard may use for a team: its committed share of each limit that there is. */
+  /**
+   * Returns what a shard may use for a team: the committed share of resources that the team has a
+   * limit of, and an unlimited amount of others. It is zero for a team without settings.
+   */
   ResourceAmount share(String team, int shard) {
     Settings.Team limits = settings.teams().get(team);
     if (limits == null) {
@@ -73,26 +76,26 @@
     }
     ResourceAmount committed = committedShare(team, shard);
     return new ResourceAmount(
-        limits.limitsCpus() ? committed.cpus() : UNLIMITED,
-        limits.limitsGpus() ? committed.gpus() : UNLIMITED);
+        limits.limitsCpus() ? committed.cpus() : UNLIMITED_SHARE,
+        limits.limitsGpus() ? committed.gpus() : UNLIMITED_SHARE);
   }
 
-  /** What a shard's tasks of a team use; a task counts until its end is committed. */
+  /** Returns what a shard's tasks of a team use; a task counts until its end is committed. */
   ResourceAmount usage(String team, int shard) {
     return usage(team, shard, Slice::occupyingCount);
   }
 
-  /** What a shard's tasks of a team use less those whose ends only wait to be committed. */
+  /** Returns the usage without tasks whose ends are only waiting to be committed. */
   ResourceAmount liveUsage(String team, int shard) {
     return usage(team, shard, Slice::liveCount);
   }
 
-  private ResourceAmount usage(String team, int shard, ToIntFunction<Slice> counted) {
+  private ResourceAmount usage(String team, int shard, ToIntFunction<Slice> taskCount) {
     long cpus = 0;
     long gpus = 0;
     for (Slice slice : slices.inShard(shard)) {
       if (team.equals(slice.team())) {
-        int count = counted.applyAsInt(slice);
+        int count = taskCount.applyAsInt(slice);
         cpus += slice.cpus() * count;
         gpus += slice.gpus() * count;
       }
@@ -100,19 +103,19 @@
     return new ResourceAmount(cpus, gpus);
   }
 
-  /** An amount that a shard is about to transfer, committed or not; none if there is none. */
+  /** Returns the amount of a shard's transfer in flight, committed or not; zero without one. */
   ResourceAmount pendingTransfer(String team, int shard) {
     return pendingTransfers.getOrDefault(new TeamShard(team, shard), ResourceAmount.NONE);
   }
 
-  /** What a shard neither uses nor transfers; less than nothing if its share is exceeded. */
+  /** Returns what a shard neither uses nor transfers; negative if its share is exceeded. */
   ResourceAmount unused(String team, int shard) {
     return share(team, shard).minus(usage(team, shard)).minus(pendingTransfer(team, shard));
   }
 
   /**
-   * What a shard may still start for a team; less than nothing if its share is exceeded, and
-   * nothing while the shares don't bound what the team uses.
+   * Returns the amount that a shard may still start for a team. It is negative if the share is
+   * exceeded, and never positive while the shares don't bound what the team uses.
    */
   ResourceAmount available(String team, int shard) {
     ResourceAmount unused = unused(team, shard);
@@ -121,7 +124,7 @@
         boundsGpus(team) ? unused.gpus() : Math.min(0, unused.gpus()));
   }
 
-  /** Whether starts of some slice that have been decided may be committed. */
+  /** Returns whether a slice's starts that have been decided may be committed. */
   boolean coversStarts(Slice slice) {
     ResourceAmount unused = unused(slice.team(), slice.shard());
     return unused.cpus() >= 0
@@ -129,16 +132,19 @@
         && (slice.gpus() == 0 || (unused.gpus() >= 0 && boundsGpus(slice.team())));
   }
 
-  /** Whether a shard's tasks of a team that may be on machines exceed its share, if it is known. */
+  /**
+   * Returns whether a shard's tasks of a team that may be on machines exceed its share; false for a
+   * team without settings.
+   */
   boolean isExceeded(String team, int shard) {
     if (!settings.teams().containsKey(team)) {
       return false;
     }
-    ResourceAmount left = share(team, shard).minus(liveUsage(team, shard));
-    return left.cpus() < 0 || left.gpus() < 0;
+    ResourceAmount remaining = share(team, shard).minus(liveUsage(team, shard));
+    return remaining.cpus() < 0 || remaining.gpus() < 0;
   }
 
-  /** Whether the shares of a team's CPUs are all known and within its limit, if it has one. */
+  /** Returns whether a team's CPU shares are proven and within its limit, or it has no limit. */
   private boolean boundsCpus(String team) {
     Settings.Team limits = settings.teams().get(team);
     return limits == null
@@ -146,7 +152,7 @@
         || record(team).filter(record -> record.boundsCpus(limits)).isPresent();
   }
 
-  /** The same for GPUs. */
+  /** Returns whether a team's GPU shares are proven and within its limit, or it has no limit. */
   private boolean boundsGpus(String team) {
     Settings.Team limits = settings.teams().get(team);
     return limits == null
@@ -154,7 +160,7 @@
         || record(team).filter(record -> record.boundsGpus(limits)).isPresent();
   }
 
-  /** What a team may still start over all shards, transfers under way included. */
+  /** Returns what a team may still start over all shards, including amounts being transferred. */
   ResourceAmount clusterHeadroom(String team) {
     ResourceAmount sum = ResourceAmount.NONE;
     for (int shard = 0; shard < membership.shardCount(); shard++) {
@@ -163,7 +169,7 @@
     return sum.atLeastZero();
   }
 
-  /** Whether no shard's records or decisions hold a task of a team. */
+  /** Returns whether no task of a team is recorded or decided to start in any shard. */
   boolean isIdle(String team) {
     for (int shard = 0; shard < membership.shardCount(); shard++) {
       if (usage(team, shard).isPositive()) {
@@ -173,12 +179,12 @@
     return true;
   }
 
-  /** An amount that a shard transfers is no longer available to it, committed or not. */
+  /** Makes an amount that a shard transfers unavailable to the shard, committed or not. */
   void beginTransfer(String team, int shard, ResourceAmount amount) {
     pendingTransfers.put(new TeamShard(team, shard), amount);
   }
 
-  /** A transfer was committed, and the share is smaller, or it was not, and nothing has changed. */
+  /** Ends a transfer. If it was committed, the share is smaller now; otherwise it is unchanged. */
   void endTransfer(String team, int shard) {
     pendingTransfers.remove(new TeamShard(team, shard));
   }
--- a/src/main/java/gladeknot/quota/QuotaMonitor.java
+++ b/src/main/java/gladeknot/quota/QuotaMonitor.java
@@ -9,21 +9,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asserts while the controller runs that each owned shard uses no more than its share, and that the
- * shares are amounts that add up to no more than the limit. A violation is logged once, with all
- * figures, and counted; {@link QuotaLedger} lets nothing start until it has ended.
+ * Checks while the controller runs that each owned shard uses no more than its share, and that a
+ * team's shares are proven and add up to no more than the limit. A violation is logged once, with
+ * all figures, and counted. {@link QuotaLedger} permits no starts until the violation has ended.
  */
 final class QuotaMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(QuotaMonitor.class);
-  private static final long INTERVAL_MICROS = 500_000;
+  private static final long CHECK_INTERVAL_MICROS = 500_000;
 
   private final Settings settings;
   private final Membership membership;
   private final QuotaLedger ledger;
   private final QuotaCounters counters;
   private final Set<TeamShard> exceededShares = new HashSet<>();
-  private final Set<String> unboundedRecords = new HashSet<>();
-  private long nextMicros;
+  private final Set<String> violatedRecords = new HashSet<>();
+  private long nextCheckMicros;
 
   QuotaMonitor(
       Settings settings, Membership membership, QuotaLedger ledger, QuotaCounters counters) {
@@ -33,16 +33,17 @@
     this.counters = counters;
   }
 
-  /** Checks all teams in all owned shards if it is time. */
+  /** Checks all teams in all owned shards if a check is due. */
   void tick(long nowMicros) {
-    if (nowMicros < nextMicros) {
+    if (nowMicros < nextCheckMicros) {
       return;
     }
-    nextMicros = nowMicros + INTERVAL_MICROS;
+    nextCheckMicros = nowMicros + CHECK_INTERVAL_MICROS;
     for (Settings.Team team : settings.teams().values()) {
       ledger.record(team.name()).ifPresent(record -> checkRecord(team, record));
       for (int shard = 0; shard < membership.shardCount(); shard++) {
-        // Where an outcome is unknown, the working copy is not what is stored.
+        // While the outcome of a transaction is unknown, the slices in memory may differ from the
+        // stored ones.
         if (membership.permits(ControlAction.COMMIT, shard)) {
           checkShare(team.name(), shard);
         }
@@ -52,8 +53,8 @@
 
   private void checkRecord(Settings.Team team, QuotaRecord record) {
     if (record.boundsCpus(team) && record.boundsGpus(team)) {
-      unboundedRecords.remove(team.name());
-    } else if (unboundedRecords.add(team.name())) {
+      violatedRecords.remove(team.name());
+    } else if (violatedRecords.add(team.name())) {
       counters.count(QuotaCounters.Event.RECORD_VIOLATIONS);
       LOG.error(
           "quota record violated team={} proven={} sum_cpus={} cpus_max={} sum_gpus={} gpus_max={}"
--- a/src/main/java/gladeknot/quota/QuotaRecord.java
+++ b/src/main/java/gladeknot/quota/QuotaRecord.java
@@ -6,52 +6,53 @@
 import java.util.Optional;
 
 /**
- * A team's stored shares by shard. A share is unproven if the record does not hold it as an amount:
- * what the shard uses is not known from the record, until the shard's owner has written it.
+ * A team's stored shares by shard. A share is proven if the record holds it as an amount. What a
+ * shard with an unproven share uses is not known from the record until the shard's owner has
+ * written it.
  *
- * @param shares the share of each shard, the first shard's first; empty for an unproven one
+ * @param shares the share of each shard, in the order of the shards; empty if it is unproven
  */
 record QuotaRecord(List<Optional<ResourceAmount>> shares) {
-  /** A record of which each share is given. */
+  /** Returns a record with the given shares, all of them proven. */
   static QuotaRecord of(List<ResourceAmount> shares) {
     return new QuotaRecord(shares.stream().map(Optional::of).toList());
   }
 
-  /** A record of so many unproven shares. */
-  static QuotaRecord unproven(int shards) {
+  /** Returns a record with the given number of unproven shares. */
+  static QuotaRecord unproven(int shardCount) {
     List<Optional<ResourceAmount>> shares = new ArrayList<>();
-    for (int shard = 0; shard < shards; shard++) {
+    for (int shard = 0; shard < shardCount; shard++) {
       shares.add(Optional.empty());
     }
     return new QuotaRecord(shares);
   }
 
-  /** A shard's share; none if it is unproven. */
+  /** Returns a shard's share; zero if it is unproven. */
   ResourceAmount share(int shard) {
     return shares.get(shard).orElse(ResourceAmount.NONE);
   }
 
-  /** Whether a shard's share is an amount. */
+  /** Returns whether a shard's share is proven. */
   boolean isProven(int shard) {
     return shares.get(shard).isPresent();
   }
 
-  /** Whether all shares are amounts, so that their sum bounds what the team uses. */
+  /** Returns whether all shares are proven, so that their sum bounds what the team uses. */
   boolean isProven() {
     return shares.stream().allMatch(Optional::isPresent);
   }
 
-  /** Whether the shares bound the CPUs that a team's tasks use, if it has a limit of them. */
+  /** Returns whether the shares keep a team's CPU usage within its limit, or it has no limit. */
   boolean boundsCpus(Settings.Team team) {
     return !team.limitsCpus() || (isProven() && sum().cpus() <= team.cpusMax());
   }
 
-  /** The same for GPUs. */
+  /** Returns whether the shares keep a team's GPU usage within its limit, or it has no limit. */
   boolean boundsGpus(Settings.Team team) {
     return !team.limitsGpus() || (isProven() && sum().gpus() <= team.gpusMax());
   }
 
-  /** The sum of the proven shares. */
+  /** Returns the sum of the proven shares. */
   ResourceAmount sum() {
     ResourceAmount sum = ResourceAmount.NONE;
     for (Optional<ResourceAmount> share : shares) {
@@ -60,7 +61,7 @@
     return sum;
   }
 
-  /** The same record with another share of one shard. */
+  /** Returns a copy of this record with the given share of one shard. */
   QuotaRecord with(int shard, ResourceAmount share) {
     List<Optional<ResourceAmount>> changed = new ArrayList<>(shares);
     changed.set(shard, Optional.of(share));
--- a/src/main/java/gladeknot/quota/QuotaRecordCodec.java
+++ b/src/main/java/gladeknot/quota/QuotaRecordCodec.java
@@ -8,23 +8,29 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Converts a team's quota shares from and to the team's record: a list by shard of each amount. */
+/**
+ * Converts a team's quota shares to and from their stored form: a list of CPU amounts and a list of
+ * GPU amounts, each by shard.
+ */
 final class QuotaRecordCodec {
   private static final String KEY_PREFIX = StateStore.ROOT + "team/";
   private static final String CPUS = "c";
   private static final String GPUS = "g";
 
-  /** Above this an amount is no amount; the sum over all shards fits a long. */
+  /** Maximum valid amount; the sum of the amounts of all shards fits a long. */
   private static final long MAX_AMOUNT = Long.MAX_VALUE >> 20;
 
   private QuotaRecordCodec() {}
 
-  /** The key of a team's record. */
+  /** Returns the key of a team's record. */
   static String key(String team) {
     return KEY_PREFIX + team;
   }
 
-  /** The stored form; versions that expect amounts alone read an unproven share as 0. */
+  /**
+   * Returns the stored form of a record. Versions that expect only amounts read an unproven share
+   * as 0.
+   */
   static Map<String, Object> encode(QuotaRecord record) {
     List<Long> cpus = new ArrayList<>();
     List<Long> gpus = new ArrayList<>();
@@ -35,10 +41,10 @@
     return Json.of(CPUS, cpus, GPUS, gpus);
   }
 
-  /** The shares of so many shards; those that the record does not hold as amounts are unproven. */
-  static QuotaRecord decode(Entry entry, int shards) {
+  /** Decodes the shares of all shards; a share that is not stored as an amount is unproven. */
+  static QuotaRecord decode(Entry entry, int shardCount) {
     List<Optional<ResourceAmount>> shares = new ArrayList<>();
-    for (int shard = 0; shard < shards; shard++) {
+    for (int shard = 0; shard < shardCount; shard++) {
       Optional<Long> cpus = amount(entry, CPUS, shard);
       Optional<Long> gpus = amount(entry, GPUS, shard);
       shares.add(
--- a/src/main/java/gladeknot/quota/QuotaStatus.java
+++ b/src/main/java/gladeknot/quota/QuotaStatus.java
@@ -8,9 +8,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What operators are shown of quota: a row for each team and owned shard, and the counts. */
+/** The operators' view of quota: a row for each team and owned shard, and the event counts. */
 final class QuotaStatus {
-  private static final double MILLIS = 1000;
+  private static final double MILLIS_PER_UNIT = 1000;
 
   private QuotaStatus() {}
 
@@ -41,13 +41,13 @@
         "term",
         membership.term(shard),
         "shareCpus",
-        share.cpus() / MILLIS,
+        share.cpus() / MILLIS_PER_UNIT,
         "usedCpus",
-        used.cpus() / MILLIS,
+        used.cpus() / MILLIS_PER_UNIT,
         "shareGpus",
-        share.gpus() / MILLIS,
+        share.gpus() / MILLIS_PER_UNIT,
         "usedGpus",
-        used.gpus() / MILLIS,
+        used.gpus() / MILLIS_PER_UNIT,
         "revision",
         ledger.recordRevision(team));
   }
--- a/src/main/java/gladeknot/quota/QuotaTransfers.java
+++ b/src/main/java/gladeknot/quota/QuotaTransfers.java
@@ -12,8 +12,8 @@
 final class QuotaTransfers {
   private static final Logger LOG = LoggerFactory.getLogger(QuotaTransfers.class);
 
-  /** How much later each next shard transfers to the same deficit. */
-  private static final long TURN_MICROS = 250_000;
+  /** Interval between the turns of the shards that may cover the same deficit, in microseconds. */
+  private static final long TURN_DELAY_MICROS = 250_000;
 
   private final Membership membership;
   private final QuotaLedger ledger;
@@ -36,17 +36,17 @@
     this.counters = counters;
   }
 
-  /** Keeps an amount from being transferred by a shard. */
+  /** Reserves an amount, which the shard then does not transfer. */
   void reserve(String team, int shard, ResourceAmount amount) {
     reserved.merge(new TeamShard(team, shard), amount, ResourceAmount::plus);
   }
 
-  /** Forgets what is reserved in a shard. */
+  /** Clears the reservations of a shard. */
   void clearReservations(int shard) {
     reserved.keySet().removeIf(key -> key.shard() == shard);
   }
 
-  /** Transfers quota of a team from an owned shard to the first shard that it should go to. */
+  /** Transfers quota of a team from an owned shard to the first other shard with a due deficit. */
   void transferFrom(Settings.Team team, int shard, long nowMicros) {
     if (!membership.permits(ControlAction.CHANGE_QUOTA, shard)) {
       return;
@@ -57,29 +57,35 @@
             .available(name, shard)
             .minus(reserved.getOrDefault(new TeamShard(name, shard), ResourceAmount.NONE));
     ResourceAmount surplus = unreserved.minus(deficits.of(name, shard)).atLeastZero();
-    for (int other = 0; other < membership.shardCount(); other++) {
-      if (!isCurrent(other, nowMicros) || other == shard || !isDue(name, shard, other, nowMicros)) {
+    for (int recipient = 0; recipient < membership.shardCount(); recipient++) {
+      if (!isCurrent(recipient, nowMicros)
+          || recipient == shard
+          || !isDue(name, shard, recipient, nowMicros)) {
         continue;
       }
-      // What is too small for any of the shard's own tasks goes to lower numbers, never in circles.
-      boolean unusable = deficits.contains(name, shard) && other < shard;
+      // If the shard has a deficit, what is left of its share is too small for any of its own
+      // tasks.
+      // That remainder goes only to shards with lower numbers, so that it never moves in circles.
+      boolean unusable = deficits.contains(name, shard) && recipient < shard;
       ResourceAmount offered = unusable ? unreserved.atLeastZero() : surplus;
-      ResourceAmount amount = ShareCorrection.limited(team, offered.min(deficits.of(name, other)));
+      ResourceAmount amount =
+          ShareCorrection.limitedPart(team, offered.min(deficits.of(name, recipient)));
       if (amount.isPositive()) {
-        transfer(name, shard, other, amount);
+        transfer(name, shard, recipient, amount);
         return;
       }
     }
   }
 
-  /** Whether what is known of a shard's deficits is new enough. */
+  /** Returns whether the known deficits of a shard are recent enough to act on. */
   private boolean isCurrent(int shard, long nowMicros) {
-    return membership.ownedShards().contains(shard) || deficits.announcedOfLate(shard, nowMicros);
+    return membership.ownedShards().contains(shard)
+        || deficits.isAnnouncementValid(shard, nowMicros);
   }
 
   /**
-   * Whether a shard has a deficit, and it is the donor's turn to make up for it: one donor after
-   * the other, since transfers at the same time would conflict over the team's one record.
+   * Returns whether a shard has a deficit and it is the donor's turn to cover it. Donors take
+   * turns, because simultaneous transfers would conflict over the team's single record.
    */
   private boolean isDue(String team, int donor, int shard, long nowMicros) {
     TeamShard key = new TeamShard(team, shard);
@@ -87,9 +93,9 @@
       deficitSinceMicros.remove(key);
       return false;
     }
-    long since = deficitSinceMicros.computeIfAbsent(key, absent -> nowMicros);
+    long sinceMicros = deficitSinceMicros.computeIfAbsent(key, absent -> nowMicros);
     int turn = Math.floorMod(donor - shard - 1, membership.shardCount());
-    return nowMicros - since >= turn * TURN_MICROS;
+    return nowMicros - sinceMicros >= turn * TURN_DELAY_MICROS;
   }
 
   private void transfer(String team, int from, int to, ResourceAmount amount) {
--- a/src/main/java/gladeknot/quota/ResourceAmount.java
+++ b/src/main/java/gladeknot/quota/ResourceAmount.java
@@ -1,6 +1,6 @@
 package gladeknot.quota;
 
-/** An amount of CPUs and GPUs, in thousandths; either may be negative. */
+/** An amount of CPUs and GPUs, in thousandths of one CPU or GPU; either may be negative. */
 public record ResourceAmount(long cpus, long gpus) {
   /** No CPUs and no GPUs. */
   public static final ResourceAmount NONE = new ResourceAmount(0, 0);
@@ -13,12 +13,12 @@
     return new ResourceAmount(cpus + other.cpus, gpus + other.gpus);
   }
 
-  /** Whether there is none of either, or less. */
+  /** Returns whether neither amount is above zero. */
   boolean isAtMostZero() {
     return cpus <= 0 && gpus <= 0;
   }
 
-  /** Whether there is some of at least one of the two. */
+  /** Returns whether at least one amount is above zero. */
   boolean isPositive() {
     return cpus > 0 || gpus > 0;
   }
@@ -31,12 +31,12 @@
     return new ResourceAmount(-cpus, -gpus);
   }
 
-  /** The larger of each of the two. */
+  /** Returns the component-wise maximum. */
   ResourceAmount max(ResourceAmount other) {
     return new ResourceAmount(Math.max(cpus, other.cpus), Math.max(gpus, other.gpus));
   }
 
-  /** The smaller of each of the two. */
+  /** Returns the component-wise minimum. */
   ResourceAmount min(ResourceAmount other) {
     return new ResourceAmount(Math.min(cpus, other.cpus), Math.min(gpus, other.gpus));
   }
--- a/src/main/java/gladeknot/quota/ShareCorrection.java
+++ b/src/main/java/gladeknot/quota/ShareCorrection.java
@@ -7,13 +7,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Puts right records whose shares don't add up to the team's limit: after the limit was changed, or
- * if a record is not what this program writes.
+ * Corrects records whose shares don't add up to the team's limit, because the limit was changed or
+ * the record was not written by this program.
  *
- * <p>Each owner changes its own share alone, which no other may make smaller: an unproven share
- * becomes what the shard uses, a surplus over the limit is taken from what the shard does not use,
- * and what no shard has is taken by one with a deficit. Until the record bounds what the team uses,
- * {@link QuotaLedger} lets nothing start.
+ * <p>Each owner changes only the share of its own shard, and no other controller may make that
+ * share smaller. An unproven share becomes what the shard uses. A surplus over the limit is taken
+ * from what the shard does not use. Quota that is assigned to no shard is taken by a shard with a
+ * deficit. Until the record bounds what the team uses, {@link QuotaLedger} permits no starts.
  */
 final class ShareCorrection {
   private static final Logger LOG = LoggerFactory.getLogger(ShareCorrection.class);
@@ -37,16 +37,16 @@
     this.counters = counters;
   }
 
-  /** Corrects an owned shard's share if it has to be; returns whether it did. */
+  /** Corrects an owned shard's share if necessary. Returns whether it did. */
   boolean correct(Settings.Team team, int shard, QuotaRecord record) {
     if (!membership.permits(ControlAction.CHANGE_QUOTA, shard)) {
       return false;
     }
     String name = team.name();
     if (!record.isProven(shard)) {
-      ResourceAmount used = limited(team, ledger.usage(name, shard));
-      note("prove", name, shard, record, used);
-      changes.prove(name, shard, record.with(shard, used));
+      ResourceAmount usage = limitedPart(team, ledger.usage(name, shard));
+      countAndLog("prove", name, shard, record, usage);
+      changes.prove(name, shard, record.with(shard, usage));
       return true;
     }
     if (!record.isProven()) {
@@ -55,72 +55,78 @@
     return shrink(team, shard, record) || grow(team, shard, record);
   }
 
-  /** Takes from a share what the shares have beyond the limit and the shard does not use. */
+  /**
+   * Reduces a share by the excess of the shares over the limit, at most by what the shard does not
+   * use.
+   */
   private boolean shrink(Settings.Team team, int shard, QuotaRecord record) {
-    ResourceAmount excess = limited(team, record.sum().minus(limit(team))).atLeastZero();
+    ResourceAmount excess = limitedPart(team, record.sum().minus(limit(team))).atLeastZero();
     if (!excess.isPositive()) {
       return false;
     }
     String name = team.name();
-    ResourceAmount released = excess.min(ledger.unused(name, shard)).atLeastZero();
-    if (!released.isPositive()) {
+    ResourceAmount reduction = excess.min(ledger.unused(name, shard)).atLeastZero();
+    if (!reduction.isPositive()) {
       return false;
     }
-    note("shrink", name, shard, record, released);
-    QuotaRecord shrunk = record.with(shard, record.share(shard).minus(released));
-    changes.shrink(name, shard, shrunk, released);
+    countAndLog("shrink", name, shard, record, reduction);
+    QuotaRecord shrunk = record.with(shard, record.share(shard).minus(reduction));
+    changes.shrink(name, shard, shrunk, reduction);
     return true;
   }
 
-  /** Adds to a share what it lacks and no shard has. */
+  /** Increases a share by what it lacks, at most by what is assigned to no shard. */
   private boolean grow(Settings.Team team, int shard, QuotaRecord record) {
     ResourceAmount unassigned = unassigned(team, shard, record);
     if (!unassigned.isPositive()) {
       return false;
     }
     String name = team.name();
-    ResourceAmount taken = missing(name, shard).min(unassigned);
-    if (!taken.isPositive()) {
+    ResourceAmount increase = shortfall(name, shard).min(unassigned);
+    if (!increase.isPositive()) {
       return false;
     }
-    note("grow", name, shard, record, taken);
-    changes.grow(name, shard, record.with(shard, record.share(shard).plus(taken)));
+    countAndLog("grow", name, shard, record, increase);
+    changes.grow(name, shard, record.with(shard, record.share(shard).plus(increase)));
     return true;
   }
 
-  /** What a shard's share lacks for what it uses already, or else for tasks that wait. */
-  private ResourceAmount missing(String team, int shard) {
+  /** Returns what a share lacks for current usage or for pending tasks, whichever is larger. */
+  private ResourceAmount shortfall(String team, int shard) {
     ResourceAmount exceeded = ledger.unused(team, shard).negated();
     return exceeded.max(deficits.of(team, shard)).atLeastZero();
   }
 
-  /** What neither the shares have nor, by their records, the tasks of other shards use. */
+  /**
+   * Returns the part of the limit that is in no share, less what the records show other shards to
+   * use beyond their shares.
+   */
   private ResourceAmount unassigned(Settings.Team team, int shard, QuotaRecord record) {
-    ResourceAmount left = limit(team).minus(record.sum());
-    if (!limited(team, left).isPositive()) {
+    ResourceAmount remaining = limit(team).minus(record.sum());
+    if (!limitedPart(team, remaining).isPositive()) {
       return ResourceAmount.NONE;
     }
     for (int other = 0; other < membership.shardCount(); other++) {
       if (other != shard) {
-        ResourceAmount used = ledger.usage(team.name(), other);
-        left = left.minus(used.minus(record.share(other)).atLeastZero());
+        ResourceAmount usage = ledger.usage(team.name(), other);
+        remaining = remaining.minus(usage.minus(record.share(other)).atLeastZero());
       }
     }
-    return limited(team, left).atLeastZero();
+    return limitedPart(team, remaining).atLeastZero();
   }
 
   private static ResourceAmount limit(Settings.Team team) {
     return new ResourceAmount(team.cpusMax(), team.gpusMax());
   }
 
-  /** The part of an amount that the team has a limit of. */
-  static ResourceAmount limited(Settings.Team team, ResourceAmount amount) {
+  /** Returns an amount with zero for each resource that the team has no limit of. */
+  static ResourceAmount limitedPart(Settings.Team team, ResourceAmount amount) {
     return new ResourceAmount(
         team.limitsCpus() ? amount.cpus() : 0, team.limitsGpus() ? amount.gpus() : 0);
   }
 
   /** Counts and logs a correction. */
-  private void note(
+  private void countAndLog(
       String kind, String team, int shard, QuotaRecord record, ResourceAmount amount) {
     counters.count(QuotaCounters.Event.CORRECTIONS);
     LOG.info(
