--- a/src/test/java/gladeknot/membership/LeaseTimesTest.java
+++ b/src/test/java/gladeknot/membership/LeaseTimesTest.java
@@ -7,13 +7,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The sum of leases, for several deployments and for wishes that are too long. */
+/**
+ * Tests that the leases together stay below the cancellation time, for several deployments and also
+ * if the wanted state lease is too long.
+ */
 class LeaseTimesTest {
-  private static final double TWO_DRIFTING_CLOCKS = 1.001;
+  private static final double TWO_CLOCK_DRIFT_FACTOR = 1.001;
 
   @ParameterizedTest
   @CsvSource({
-    // report, lease, cancel, wanted state lease, the one that is taken
+    // In seconds: report interval, worker lease, cancellation time, wanted and resulting state
+    // lease.
     "2, 14, 39, 20, 20",
     "1.5, 14, 39, 60, 22",
     "4, 22, 47, 19.125, 19.125",
@@ -21,24 +25,35 @@
     "1, 8, 25, 600, 14",
     "2, 14, 18, 60, 1",
   })
-  void theSumStaysBelowTheTimeOfACancellation(
-      double report, double lease, double cancel, double wanted, double taken) {
+  void leasesStayBelowCancellationTime(
+      double reportSeconds,
+      double leaseSeconds,
+      double cancelSeconds,
+      double wantedSeconds,
+      double expectedSeconds) {
     Settings.Workers workers =
-        new Settings.Workers(micros(report), micros(lease), micros(30), micros(6), micros(cancel));
-    LeaseTimes times = LeaseTimes.of(workers, micros(wanted));
-    assertEquals(micros(taken), times.stateLeaseMicros());
-    assertTrue(times.longestAfterCancelMicros() < micros(cancel) - 2_500_000);
-    // A worker that was answered at the last moment that its controller's clock allows keeps its
-    // tasks, by its own slow clock, for less than the time of a cancellation.
-    long answers = times.mayActUntilMicros(1_000_000, 0);
-    assertTrue(answers * TWO_DRIFTING_CLOCKS < times.stateLeaseMicros());
-    assertEquals(answers, times.mayActUntilMicros(0, 1_000_000));
-    assertTrue((answers + micros(lease)) * TWO_DRIFTING_CLOCKS < micros(cancel));
-    // Nobody takes a lease as lapsed before it has, nor a delegation as over while it is used.
-    assertTrue(times.expiredAfterMicros() > micros(lease) * TWO_DRIFTING_CLOCKS);
+        new Settings.Workers(
+            micros(reportSeconds),
+            micros(leaseSeconds),
+            micros(30),
+            micros(6),
+            micros(cancelSeconds));
+    LeaseTimes times = LeaseTimes.of(workers, micros(wantedSeconds));
+    assertEquals(micros(expectedSeconds), times.stateLeaseMicros());
+    assertTrue(times.longestAfterCancelMicros() < micros(cancelSeconds) - 2_500_000);
+    // The controller answers a worker at the last moment that the controller's clock allows. The
+    // worker, whose clock is slow, then still keeps its tasks for less than the cancellation time.
+    long mayActUntilMicros = times.mayActUntilMicros(1_000_000, 0);
+    assertTrue(mayActUntilMicros * TWO_CLOCK_DRIFT_FACTOR < times.stateLeaseMicros());
+    assertEquals(mayActUntilMicros, times.mayActUntilMicros(0, 1_000_000));
+    assertTrue(
+        (mayActUntilMicros + micros(leaseSeconds)) * TWO_CLOCK_DRIFT_FACTOR
+            < micros(cancelSeconds));
+    // No lease counts as expired while its holder may still use it, and neither does a delegation.
+    assertTrue(times.expiredAfterMicros() > micros(leaseSeconds) * TWO_CLOCK_DRIFT_FACTOR);
     assertTrue(
         times.delegationExpiredAtMicros(0)
-            > times.delegateMayActUntilMicros(0) * TWO_DRIFTING_CLOCKS);
+            > times.delegateMayActUntilMicros(0) * TWO_CLOCK_DRIFT_FACTOR);
   }
 
   private static long micros(double seconds) {
--- a/src/test/java/gladeknot/membership/OwnedShardsTest.java
+++ b/src/test/java/gladeknot/membership/OwnedShardsTest.java
@@ -13,11 +13,15 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What was relinquished stays so, whatever answers come later. */
+/**
+ * Tests which owned shards a controller may act for. A relinquished shard must stay relinquished
+ * when a write that was sent before is answered late, because another node may have taken the
+ * shard.
+ */
 class OwnedShardsTest {
   private static final int SHARD = 1;
 
-  private final List<String> heard = new ArrayList<>();
+  private final List<String> events = new ArrayList<>();
   private final OwnedShards shards =
       new OwnedShards(
           new ShardTable(
@@ -30,12 +34,12 @@
           new ShardListener() {
             @Override
             public void onAcquired(int shard) {
-              heard.add("acquired " + shard);
+              events.add("acquired " + shard);
             }
 
             @Override
             public void onReleased(int shard) {
-              heard.add("released " + shard);
+              events.add("released " + shard);
             }
 
             @Override
@@ -45,23 +49,24 @@
           });
 
   @Test
-  void anAnswerToAWriteFromBeforeRelinquishingDoesNotEndIt() {
+  void relinquishedShardStaysRelinquishedWhenEarlierWriteIsCommitted() {
     shards.acquire(SHARD, 0);
-    long onItsWay = shards.nextTerm(SHARD, 4);
+    long termInFlight = shards.nextTerm(SHARD, 4);
     shards.relinquish(SHARD);
-    assertEquals(onItsWay, shards.highestTerm(SHARD));
-    shards.onWritten(SHARD, onItsWay);
+    assertEquals(termInFlight, shards.highestTerm(SHARD));
+    shards.onWritten(SHARD, termInFlight);
     assertFalse(shards.held(SHARD));
     assertTrue(shards.needsNewRevision(SHARD));
-    // That write may not have been carried out, so that its term can be drawn again.
-    long next = shards.nextTerm(SHARD, 4);
-    assertTrue(next > onItsWay);
-    shards.onWritten(SHARD, next);
+    // The earlier write may not have been executed, so that the counter would give its term again.
+    // The next term must be above it.
+    long nextTerm = shards.nextTerm(SHARD, 4);
+    assertTrue(nextTerm > termInFlight);
+    shards.onWritten(SHARD, nextTerm);
     assertTrue(shards.held(SHARD));
   }
 
   @Test
-  void aShardWhoseHandOverFailsIsHeldAgain() {
+  void shardIsHeldAgainUnderNewTermAfterFailedHandover() {
     shards.acquire(SHARD, 0);
     shards.beginHandOver(SHARD);
     assertFalse(shards.held(SHARD));
@@ -70,7 +75,7 @@
   }
 
   @Test
-  void aShardThatIsNotOwnedIsNeitherRelinquishedNorInDoubt() {
+  void unownedShardIsNeitherRelinquishedNorInDoubt() {
     shards.relinquish(SHARD);
     shards.markInDoubt(SHARD);
     shards.acquire(SHARD, 0);
@@ -81,6 +86,6 @@
     shards.release(SHARD);
     shards.release(SHARD);
     assertFalse(shards.needsNewRevision(SHARD));
-    assertEquals(List.of("acquired 1", "released 1"), heard);
+    assertEquals(List.of("acquired 1", "released 1"), events);
   }
 }
