--- a/src/main/java/gladeknot/commit/SliceBatcher.java
+++ b/src/main/java/gladeknot/commit/SliceBatcher.java
@@ -256,7 +256,7 @@
         slice.pendingClaims().values(),
         conditions,
         membership.format().revision(),
-        membership.copyRevision());
+        membership.cacheRevision());
   }
 
   private static BitSet without(BitSet all, BitSet claimed) {
--- a/src/main/java/gladeknot/lifecycle/SliceMonitor.java
+++ b/src/main/java/gladeknot/lifecycle/SliceMonitor.java
@@ -59,7 +59,7 @@
           id,
           violation.get(),
           membership.format().revision(),
-          membership.copyRevision());
+          membership.cacheRevision());
     }
   }
 }
--- a/src/main/java/gladeknot/membership/Membership.java
+++ b/src/main/java/gladeknot/membership/Membership.java
@@ -120,7 +120,7 @@
   }
 
   /** Returns the revision that the watch has reached: the cache holds all changes up to it. */
-  public long copyRevision() {
+  public long cacheRevision() {
     return stateStore.revision();
   }
 
