--- a/src/main/java/gladeknot/membership/Membership.java
+++ b/src/main/java/gladeknot/membership/Membership.java
@@ -64,7 +64,7 @@
     return nodes.size();
   }
 
-  /** Returns the shard that this controller owns unless a failover or a handover moved it. */
+  /** Returns this controller's home shard, which it owns in normal operation. */
   public int homeShard() {
     return homeShard;
   }
@@ -131,13 +131,13 @@
 
   /**
    * Returns whether the cache is recent enough for starts to be sent. A cancellation that the cache
-   * does not show is no older than the cache. The condition delays little, because nothing is
-   * committed while the state service does not answer.
+   * does not show was committed after the cache was last known to be current. The condition delays
+   * little, because nothing is committed while the state service does not answer.
    */
   @Override
   public boolean copyFresh() {
-    long age = nowMicros - stateStore.currentAsOfMicros();
-    return age < times.stateLeaseMicros() / FRESH_LEASE_DIVISOR;
+    long ageMicros = nowMicros - stateStore.currentAsOfMicros();
+    return ageMicros < times.stateLeaseMicros() / FRESH_LEASE_DIVISOR;
   }
 
   /** Returns this controller's incarnation, the number of its state lease; 0 without a lease. */
--- a/src/main/java/gladeknot/membership/StorageFormat.java
+++ b/src/main/java/gladeknot/membership/StorageFormat.java
@@ -43,7 +43,7 @@
   private static final long SPLIT_INTERVAL_MICROS = 10_000_000;
 
   /**
-   * Maximum segment split. It keeps segment numbers small and lets a shard hold some hundred
+   * Maximum segment split. It keeps segment numbers small and lets a shard hold a few hundred
    * thousand tasks at once.
    */
   private static final int MAX_SEGMENT_SPLIT = 256;
