--- a/src/main/java/gladeknot/commit/SliceBatcher.java
+++ b/src/main/java/gladeknot/commit/SliceBatcher.java
@@ -265,7 +265,7 @@
         slice.pendingClaims().values(),
         preconditions,
         membership.format().revision(),
-        membership.copyRevision());
+        membership.cacheRevision());
   }
 
   private static BitSet withoutTasks(BitSet all, BitSet claimed) {
--- a/src/main/java/gladeknot/lifecycle/SliceMonitor.java
+++ b/src/main/java/gladeknot/lifecycle/SliceMonitor.java
@@ -61,7 +61,7 @@
           id,
           violation.get(),
           membership.format().revision(),
-          membership.copyRevision());
+          membership.cacheRevision());
     }
   }
 }
