--- a/src/main/java/gladeknot/scheduling/CandidateMachine.java
+++ b/src/main/java/gladeknot/scheduling/CandidateMachine.java
@@ -8,8 +8,8 @@
 import gladeknot.workers.Worker;
 
 /**
- * A machine in one scheduling cycle, with its free resources and those that terminating tasks still
- * use. CPUs, GPUs and memory are in thousandths.
+ * A machine in one scheduling cycle, with its free resources and the resources that terminating
+ * tasks still use. CPUs, GPUs and memory are in thousandths of a CPU, a GPU and a GB.
  */
 final class CandidateMachine {
   private final Worker worker;
@@ -29,7 +29,10 @@
     this.freeMemory = type.memory();
   }
 
-  /** A machine less what its open attempts and the unknown tasks in its last heartbeat use. */
+  /**
+   * Creates a candidate from a worker's machine. The resources of the worker's open attempts are
+   * not free. If the last heartbeat reports a task without an attempt here, no CPU is free.
+   */
   static CandidateMachine of(Worker worker, MachineType type) {
     CandidateMachine machine = new CandidateMachine(worker, type);
     for (Attempt attempt : worker.attempts().values()) {
@@ -42,7 +45,8 @@
       }
     }
     if (worker.heartbeat() != null && machine.runsUnknownTask()) {
-      // What such a task uses isn't known here. It is being killed; nothing starts until then.
+      // The resources that an unknown task uses are not known here. The task is being killed, and
+      // nothing starts on the machine until it is gone.
       machine.freeCpus = 0;
     }
     return machine;
@@ -70,12 +74,12 @@
     return worker.zone();
   }
 
-  /** The free part of all its CPUs; negative if more is allocated than there is. */
+  /** Returns the free fraction of the machine's CPUs; negative if CPUs are overallocated. */
   double freeCpuFraction() {
     return (double) freeCpus / type.cpus();
   }
 
-  /** Counts a slice's task among those that are being terminated; its resources stay allocated. */
+  /** Adds a task of a slice to the terminating tasks. Its resources stay allocated. */
   void addTerminating(Slice slice) {
     terminatingCpus += slice.cpus();
     terminatingGpus += slice.gpus();
@@ -88,17 +92,17 @@
     freeMemory -= memory;
   }
 
-  /** Takes the resources of one task of a job. */
+  /** Allocates the resources of one task of a job. */
   void allocate(JobSpec spec) {
     allocate(spec.cpus(), spec.gpus(), spec.memory());
   }
 
-  /** Returns the resources of one task of a job. */
+  /** Releases the resources of one task of a job. */
   void release(JobSpec spec) {
     allocate(-spec.cpus(), -spec.gpus(), -spec.memory());
   }
 
-  /** How many tasks of a job fit into the free resources. */
+  /** Returns the number of tasks of a job that fit into the free resources. */
   int capacityFor(JobSpec spec) {
     if (freeCpus < spec.cpus() || freeGpus < spec.gpus() || freeMemory < spec.memory()) {
       return 0;
@@ -110,7 +114,7 @@
     return (int) count;
   }
 
-  /** Whether a task fits once the terminating ones have exited. */
+  /** Returns whether a task of a job fits once the terminating tasks have exited. */
   boolean fitsAfterTermination(JobSpec spec) {
     return cpusAfterTermination() >= spec.cpus()
         && gpusAfterTermination() >= spec.gpus()
--- a/src/main/java/gladeknot/scheduling/CapacityReserver.java
+++ b/src/main/java/gladeknot/scheduling/CapacityReserver.java
@@ -14,14 +14,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reserves resources for tasks that found no machine: those that terminating tasks are about to
- * free and, once the tasks have waited long enough, those of tasks that it preempts.
+ * Reserves resources for pending tasks that found no machine. It reserves resources that
+ * terminating tasks are about to free. Once the pending tasks have waitedMicros long enough, it
+ * also preempts running tasks and reserves their resources.
  */
 final class CapacityReserver {
   private static final Logger LOG = LoggerFactory.getLogger(CapacityReserver.class);
 
-  /** So much longer does each further shard wait before it preempts for another shard's tasks. */
-  private static final long REMOTE_DELAY_MICROS = 1_500_000;
+  /**
+   * Additional wait before a shard preempts for another shard's tasks, in microseconds for each
+   * step from that shard in the order of shards.
+   */
+  private static final long REMOTE_PREEMPTION_DELAY_MICROS = 1_500_000;
 
   private final Policy policy;
   private final Membership membership;
@@ -57,7 +61,7 @@
     this.gangReservations = gangReservations;
   }
 
-  /** Reserves resources for so many of a slice's pending tasks, as far as it can. */
+  /** Reserves resources for up to {@code count} pending tasks of a slice. */
   void reserve(PendingSlice pending, int count, SchedulingCycle cycle) {
     JobSpec spec = pending.spec();
     PreemptionRequest request = preemptionRequest(pending, cycle);
@@ -71,36 +75,38 @@
     if (!plan.findOptions()) {
       cycle.markInfeasibleAfterTermination(requirements);
     }
-    int remaining = plan.reserve(count);
-    if (!pending.isGang() || remaining == 0) {
+    int unreserved = plan.reserve(count);
+    if (!pending.isGang() || unreserved == 0) {
       preempt(plan, spec, cycle);
-      reserveQuota(spec, count - remaining, cycle);
+      reserveQuota(spec, count - unreserved, cycle);
     } else {
-      gangReservations.reserveMachines(spec, remaining, cycle, tasksByZone);
+      gangReservations.reserveMachines(spec, unreserved, cycle, tasksByZone);
     }
   }
 
   /**
-   * What may be preempted for a slice now; null for nothing. Shards with free resources come first:
-   * one that would have to preempt for another shard's tasks leaves time to that shard, and to
-   * those before it in the order of shards.
+   * Returns the request that determines which tasks may be preempted for a slice now; null if none
+   * may be. Shards that have free resources start the tasks first. A shard that would have to
+   * preempt for another shard's tasks therefore waits longer than that shard and the shards between
+   * the two in the order of shards.
    */
   private PreemptionRequest preemptionRequest(PendingSlice pending, SchedulingCycle cycle) {
     boolean remoteInFlight = pending.remote() && committer.isInFlight(pending.slice());
     if (remoteInFlight) {
       return null;
     }
-    long waited = cycle.nowMicros() - pending.slice().pendingSinceMicros();
+    long waitedMicros = cycle.nowMicros() - pending.slice().pendingSinceMicros();
     int distance = Math.floorMod(cycle.shard() - pending.slice().shard(), membership.shardCount());
-    if (waited < policy.micros(Policy.Name.STOP_AFTER) + distance * REMOTE_DELAY_MICROS) {
+    if (waitedMicros
+        < policy.micros(Policy.Name.STOP_AFTER) + distance * REMOTE_PREEMPTION_DELAY_MICROS) {
       return null;
     }
     boolean equalPriority =
-        pending.guaranteed() && waited >= policy.micros(Policy.Name.STOP_EQUAL_AFTER);
+        pending.guaranteed() && waitedMicros >= policy.micros(Policy.Name.STOP_EQUAL_AFTER);
     PreemptionRequest request = preemption.request(pending.spec(), equalPriority);
-    boolean possible =
+    boolean hasVictims =
         preemption.hasVictims(request, workers.inShard(cycle.shard()), cycle.nowMicros());
-    return possible ? request : null;
+    return hasVictims ? request : null;
   }
 
   private void preempt(ReservationPlan plan, JobSpec spec, SchedulingCycle cycle) {
@@ -108,7 +114,7 @@
       LOG.info("attempt preempted attempt={} for_job={}", victim, spec.id());
       guarantees.onPreemption(victim.slice());
       cycle.onPreemption();
-      lifecycle.kill(victim, preemption.graceS(victim));
+      lifecycle.kill(victim, preemption.gracePeriodSeconds(victim));
     }
   }
 
--- a/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
@@ -9,16 +9,19 @@
 import gladeknot.workers.WorkerRegistry;
 
 /**
- * How much of the fleet serves jobs with deadlines, or could: the machines' resources less what all
- * other jobs use. Jobs that need GPUs are counted by the GPUs of the machines that have some, all
- * others by the CPUs of the machines without.
+ * Resources of the fleet that are available to jobs with deadlines: those of the machines less what
+ * jobs without deadlines use. For jobs that require GPUs, the GPUs of machines with GPUs count. For
+ * all other jobs, the CPUs of machines without GPUs count.
  */
 final class DeadlineCapacity {
-  /** The whole fleet is visited so often only, not for each job that is submitted or ends. */
-  private static final long REFRESH_MICROS = 1_000_000;
+  /**
+   * Minimum interval between two passes over the whole fleet, in microseconds. A pass for each job
+   * that is submitted or ends would be too frequent.
+   */
+  private static final long REFRESH_INTERVAL_MICROS = 1_000_000;
 
-  /** A launched machine counts as coming for so many times the time its type needs to get ready. */
-  private static final int READY_TIMES = 2;
+  /** Multiple of the machine type's boot time for which a launched machine counts as booting. */
+  private static final int BOOT_TIME_FACTOR = 2;
 
   private final JobRegistry jobs;
   private final WorkerRegistry workers;
@@ -33,10 +36,10 @@
     this.types = types;
   }
 
-  /** How many tasks of a job could run at once; 0 or more. */
+  /** Returns the number of tasks of a job that could run at once; never negative. */
   int taskSlots(JobSpec spec, long nowMicros, long wallMicros) {
     if (nowMicros >= nextRefreshMicros) {
-      nextRefreshMicros = nowMicros + REFRESH_MICROS;
+      nextRefreshMicros = nowMicros + REFRESH_INTERVAL_MICROS;
       refresh(wallMicros);
     }
     long slots = spec.gpus() > 0 ? gpus / spec.gpus() : cpus / spec.cpus();
@@ -55,9 +58,11 @@
   }
 
   private void addWorker(Worker worker, MachineType type, long wallMicros) {
-    // A machine that should be ready by now and runs nothing while work is pending is of no use.
-    boolean launching = wallMicros - worker.launchedWallMicros() < READY_TIMES * type.readyMicros();
-    if (launching || !worker.attempts().isEmpty()) {
+    // A machine that should have booted by now but runs no task while tasks are pending does not
+    // count: the pending tasks can't use it.
+    boolean booting =
+        wallMicros - worker.launchedWallMicros() < BOOT_TIME_FACTOR * type.readyMicros();
+    if (booting || !worker.attempts().isEmpty()) {
       add(type, type.cpus(), type.gpus());
     }
     for (Attempt attempt : worker.attempts().values()) {
@@ -68,11 +73,11 @@
     }
   }
 
-  private void add(MachineType type, long moreCpus, long moreGpus) {
+  private void add(MachineType type, long addedCpus, long addedGpus) {
     if (type.gpus() > 0) {
-      gpus += moreGpus;
+      gpus += addedGpus;
     } else {
-      cpus += moreCpus;
+      cpus += addedCpus;
     }
   }
 }
--- a/src/main/java/gladeknot/scheduling/DeadlineObjectives.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineObjectives.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The service-level objectives of job classes, as far as they decide on the deadline order. */
+/** Service-level objectives of job classes that affect the {@link DeadlineOrder}. */
 final class DeadlineObjectives {
-  /** The multiples of the deadline that any class has an objective for, in ascending order. */
+  /** Multiples of the deadline for which any class has an objective, in ascending order. */
   private final List<Double> deadlineMultiples;
 
-  private final Map<String, Set<Double>> multiplesByClass = new HashMap<>();
+  private final Map<String, Set<Double>> deadlineMultiplesByClass = new HashMap<>();
 
-  /** By class, the objectives apart from deadlines: a start or an end within a time. */
+  /** By class, the objectives for a start or an end within a time, without deadline objectives. */
   private final Map<String, List<Settings.Objective>> otherObjectives = new HashMap<>();
 
   DeadlineObjectives(Settings settings) {
@@ -26,7 +26,9 @@
       ObjectiveKind kind = objective.kind();
       String jobClass = objective.jobClass();
       if (kind == ObjectiveKind.DEADLINE) {
-        multiplesByClass.computeIfAbsent(jobClass, c -> new HashSet<>()).add(objective.times());
+        deadlineMultiplesByClass
+            .computeIfAbsent(jobClass, c -> new HashSet<>())
+            .add(objective.times());
         multiples.add(objective.times());
       } else if (jobClass != null
           && (kind == ObjectiveKind.WAIT || kind == ObjectiveKind.FINISHED)) {
@@ -36,18 +38,18 @@
     deadlineMultiples = multiples.stream().sorted().toList();
   }
 
-  /** The multiples of the deadline that any class has an objective for, in ascending order. */
+  /** Returns the multiples of the deadline that any class has an objective for, ascending. */
   List<Double> deadlineMultiples() {
     return deadlineMultiples;
   }
 
-  /** The multiples of the deadline that a job's class has objectives for. */
-  Set<Double> multiplesOf(Job job) {
-    return multiplesByClass.getOrDefault(job.spec().jobClass(), Set.of());
+  /** Returns the multiples of the deadline that a job's class has objectives for. */
+  Set<Double> deadlineMultiplesOf(Job job) {
+    return deadlineMultiplesByClass.getOrDefault(job.spec().jobClass(), Set.of());
   }
 
-  /** The objectives of a job's class for a start or an end within a time, deadlines apart. */
-  List<Settings.Objective> othersOf(Job job) {
+  /** Returns the objectives of a job's class for a start or an end within a time. */
+  List<Settings.Objective> otherObjectivesOf(Job job) {
     return otherObjectives.getOrDefault(job.spec().jobClass(), List.of());
   }
 }
--- a/src/main/java/gladeknot/scheduling/DeadlineOrder.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineOrder.java
@@ -17,37 +17,50 @@
 import java.util.PriorityQueue;
 
 /**
- * The order of jobs with deadlines when not all of them can be in time.
+ * Orders jobs with deadlines when not all deadlines can be met.
  *
- * <p>Earliest deadline first makes every job a little late under overload. So jobs are admitted by
- * their deadlines as long as the machines that serve such work now can finish all of them in time;
- * when one would be late, the largest admitted so far is deferred: that keeps the most jobs in time
- * (the rule of Moore and Hodgson). Deferred jobs are considered again for the class's next
- * objective, a multiple of the deadline; those that are late for all of them are ordered by age.
+ * <p>Under overload, earliest deadline first would make every job a little late. Jobs are therefore
+ * admitted in the order of their deadlines, as long as the machines that are available to jobs with
+ * deadlines now can finish all admitted jobs in time. If a job would be late, the largest admitted
+ * job is deferred. This is the rule of Moore and Hodgson, which maximizes the number of jobs in
+ * time. Deferred jobs are considered again for the next objective of their class, which is another
+ * multiple of the deadline. Jobs that are late for all these objectives are ordered by submission
+ * time.
  */
 final class DeadlineOrder {
-  /** Keys of jobs that are late for all their deadlines begin here. */
+  /** Lowest key of jobs that are late for all their deadline objectives. */
   static final long LATE_KEY = Long.MAX_VALUE / 4;
 
-  /** The last tier, that of late jobs. */
+  /** Tier of jobs that are late for all their deadline objectives. */
   private static final int LATE_TIER = 8;
 
-  /** Far more than any time of day: what can be in time for an earlier objective comes first. */
+  /**
+   * Distance between the keys of two tiers. It far exceeds any time of day in microseconds, so jobs
+   * that can meet an earlier objective come first.
+   */
   private static final long TIER_WIDTH = LATE_KEY / LATE_TIER;
 
-  private static final long REFRESH_MICROS = 300_000;
+  private static final long REFRESH_INTERVAL_MICROS = 300_000;
 
-  /** From the end of a task to the answer that reports it. */
-  private static final long COMPLETION_MICROS = 3_000_000;
+  /** Time from the end of a task to the answer that reports it, in microseconds. */
+  private static final long COMPLETION_DELAY_MICROS = 3_000_000;
 
-  /** From a decision to a running task. */
-  private static final long START_MICROS = 1_500_000;
+  /** Time from the decision to start a task until it runs, in microseconds. */
+  private static final long START_DELAY_MICROS = 1_500_000;
 
-  /** A job that may be admitted: the work that is left of it and when that has to end. */
+  /**
+   * A job that may be admitted.
+   *
+   * @param job the job
+   * @param workMicros the run time of all its pending tasks, including their start delays
+   * @param runMicros the estimated run time of one task
+   * @param dueMicros the time of day by which the last task has to end
+   */
   private record Candidate(Job job, long workMicros, long runMicros, long dueMicros) {}
 
-  /** How many tasks of a job the machines, running or launching, can run at once. */
+  /** Counts the tasks of a job that can run at once. */
   interface TaskSlots {
+    /** Returns how many tasks of a job the running and launching machines can run at once. */
     int count(JobSpec spec);
   }
 
@@ -77,67 +90,78 @@
     this.objectives = new DeadlineObjectives(settings);
   }
 
-  /** The position of a job among those of its priority: the lowest key comes first. */
+  /** Returns the key of a job, which orders the jobs of a priority: the lowest comes first. */
   long key(Job job) {
     if (job.spec().deadlineMicros() == 0) {
-      return inheritedKey(job);
+      return keyFromDependents(job);
     }
     Long key = keyByJob.get(job.id());
     return key == null ? job.submittedMicros() + job.spec().deadlineMicros() : key;
   }
 
-  /** A job without a deadline takes that of its pipeline, as long as it can be met. */
-  private long inheritedKey(Job job) {
-    long latestEnd = inheritance.latestEndMicros(job);
-    boolean inTime =
-        latestEnd < PriorityInheritance.NEVER
-            && refreshedWallMicros + START_MICROS + estimates.runMicros(job.spec()) <= latestEnd;
-    return inTime ? latestEnd : LATE_KEY - 1;
+  /**
+   * Returns the key of a job without a deadline of its own. If the jobs that depend on it have
+   * deadlines that can still be met, the key is the time by which the job has to end for them.
+   * Otherwise the job comes just before the jobs that are late for all their deadline objectives.
+   */
+  private long keyFromDependents(Job job) {
+    long latestEndMicros = inheritance.latestEndMicros(job);
+    boolean canBeMet =
+        latestEndMicros < PriorityInheritance.NO_DEADLINE_MICROS
+            && refreshedWallMicros + START_DELAY_MICROS + estimates.runMicros(job.spec())
+                <= latestEndMicros;
+    return canBeMet ? latestEndMicros : LATE_KEY - 1;
   }
 
-  /** A job's priority, or that of the most urgent job that depends on it. */
+  /** Returns the highest priority among a job and the jobs that depend on it. */
   JobSpec.Priority priority(Job job) {
     return inheritance.priority(job);
   }
 
-  /** By when a job has to end for its pipeline to be in time; see {@link PriorityInheritance}. */
+  /**
+   * Returns the time of day by which a job has to end for its own deadline and those of the jobs
+   * that depend on it; see {@link PriorityInheritance#latestEndMicros}.
+   */
   long latestEndMicros(Job job) {
     return inheritance.latestEndMicros(job);
   }
 
-  /** Which of its deadline objectives a job with such a key can meet: 0 is the first, 8 none. */
+  /**
+   * Returns the index of the deadline objective that a job with this key can meet: 0 for the first,
+   * 8 if it can meet none.
+   */
   static int tier(long key) {
     return (int) Math.min(key / TIER_WIDTH, LATE_TIER);
   }
 
-  /** Whether a job is late for all its deadlines, however soon its tasks run. */
+  /** Returns whether a job would miss all its deadline objectives even if it started now. */
   boolean isLate(Job job, long wallMicros) {
-    double last = 0;
-    for (double multiple : objectives.multiplesOf(job)) {
-      last = Math.max(last, multiple);
+    double lastMultiple = 0;
+    for (double multiple : objectives.deadlineMultiplesOf(job)) {
+      lastMultiple = Math.max(lastMultiple, multiple);
     }
     return job.spec().deadlineMicros() > 0
-        && wallMicros + estimates.runMicros(job.spec()) > dueMicros(job, last);
+        && wallMicros + estimates.runMicros(job.spec()) > dueMicros(job, lastMultiple);
   }
 
   private static long dueMicros(Job job, double multiple) {
     return job.submittedMicros() + (long) (job.spec().deadlineMicros() * multiple);
   }
 
-  /** Computes the order anew if jobs have changed or the last time is long enough ago. */
+  /** Recomputes the order if jobs have changed or the refresh interval has passed. */
   void refresh(long nowMicros, long wallMicros, TaskSlots taskSlots) {
     if (nowMicros < nextRefreshMicros && seenChangeCount == jobs.changeCount()) {
       return;
     }
-    nextRefreshMicros = nowMicros + REFRESH_MICROS;
+    nextRefreshMicros = nowMicros + REFRESH_INTERVAL_MICROS;
     seenChangeCount = jobs.changeCount();
     refreshedWallMicros = wallMicros;
     inheritance.refresh();
     keyByJob.clear();
-    List<Job> open = jobsWithDeadlines();
-    int slots = open.isEmpty() ? 0 : slots(open, taskSlots);
+    List<Job> jobsWithDeadlines = activeJobsWithDeadlines();
+    int slots = jobsWithDeadlines.isEmpty() ? 0 : slots(jobsWithDeadlines, taskSlots);
     List<Job> remaining = new ArrayList<>();
-    long workMicros = prioritizeLastChances(open, wallMicros, remaining);
+    long workMicros = prioritizeObjectivesAtRisk(jobsWithDeadlines, wallMicros, remaining);
     int tiers = objectives.deadlineMultiples().size();
     for (int tier = 0; tier < tiers && !remaining.isEmpty(); tier++) {
       List<Job> deferred = new ArrayList<>();
@@ -149,7 +173,7 @@
     }
   }
 
-  private List<Job> jobsWithDeadlines() {
+  private List<Job> activeJobsWithDeadlines() {
     List<Job> found = new ArrayList<>();
     for (Job job : jobs.active()) {
       if (job.spec().deadlineMicros() > 0) {
@@ -159,31 +183,34 @@
     return found;
   }
 
-  /** How many tasks with deadlines run at once: as many as now at least. */
-  private int slots(List<Job> open, TaskSlots taskSlots) {
+  /** Returns how many tasks with deadlines can run at once; at least the number running now. */
+  private int slots(List<Job> jobsWithDeadlines, TaskSlots taskSlots) {
     int running = 0;
-    for (Job job : open) {
+    for (Job job : jobsWithDeadlines) {
       for (Slice slice : slices.ofJob(job.id())) {
         running += slice.liveCount();
       }
     }
-    // Jobs with deadlines are taken to be alike: the first stands for all.
-    return Math.max(running, taskSlots.count(open.get(0).spec()));
+    // All jobs with deadlines are assumed to require the same resources as the first of them.
+    return Math.max(running, taskSlots.count(jobsWithDeadlines.get(0).spec()));
   }
 
   /**
-   * Jobs that were deferred for their deadlines have other objectives still: they come first again
-   * once most of the time for the next of those is over. Without that, the largest would wait for
-   * the end of an overload, however long it lasts.
+   * Sets the keys of jobs whose next objective other than a deadline is at risk, so that they come
+   * among the first again. An objective is at risk when most of the time for it has passed. Without
+   * this, the largest jobs, which are deferred for their deadlines, would wait until an overload
+   * ends, however long it lasts.
    *
-   * @return the work of these jobs; all others are added to {@code others}
+   * @param others receives the jobs without an objective at risk
+   * @return the work of the jobs with an objective at risk, in microseconds
    */
-  private long prioritizeLastChances(List<Job> open, long wallMicros, List<Job> others) {
+  private long prioritizeObjectivesAtRisk(
+      List<Job> jobsWithDeadlines, long wallMicros, List<Job> others) {
     long workMicros = 0;
-    for (Job job : open) {
-      long lastChance = lastChanceMicros(job, wallMicros);
-      if (lastChance > 0) {
-        keyByJob.put(job.id(), lastChance);
+    for (Job job : jobsWithDeadlines) {
+      long dueMicros = dueMicrosAtRisk(job, wallMicros);
+      if (dueMicros > 0) {
+        keyByJob.put(job.id(), dueMicros);
         workMicros += pendingWorkMicros(job, estimates.runMicros(job.spec()));
       } else {
         others.add(job);
@@ -193,36 +220,46 @@
   }
 
   /**
-   * By when a job must be done for its next objective apart from deadlines that can still be met,
-   * if that time is near; 0 if there is none.
+   * Returns the time of day by which a job must end for its next objective that is at risk, apart
+   * from deadlines. Returns 0 if there is no other objective that can still be met, or if more than
+   * the fraction {@link Policy.Name#LAST_CALL} of the time for it is left.
    */
-  private long lastChanceMicros(Job job, long wallMicros) {
-    long run = estimates.runMicros(job.spec());
-    long next = Long.MAX_VALUE;
-    for (Settings.Objective objective : objectives.othersOf(job)) {
-      long within = objective.withinMicros() - START_MICROS;
-      long latestStart =
-          objective.kind() == ObjectiveKind.WAIT ? within : within - run - COMPLETION_MICROS;
-      if (job.readyMicros() + latestStart >= wallMicros) {
-        next = Math.min(next, latestStart);
+  private long dueMicrosAtRisk(Job job, long wallMicros) {
+    long runMicros = estimates.runMicros(job.spec());
+    long nextLatestStartMicros = Long.MAX_VALUE;
+    for (Settings.Objective objective : objectives.otherObjectivesOf(job)) {
+      long withinMicros = objective.withinMicros() - START_DELAY_MICROS;
+      long latestStartMicros =
+          objective.kind() == ObjectiveKind.WAIT
+              ? withinMicros
+              : withinMicros - runMicros - COMPLETION_DELAY_MICROS;
+      if (job.readyMicros() + latestStartMicros >= wallMicros) {
+        nextLatestStartMicros = Math.min(nextLatestStartMicros, latestStartMicros);
       }
     }
-    double fraction = policy.number(Policy.Name.LAST_CALL);
-    boolean near = next < Long.MAX_VALUE && wallMicros - job.readyMicros() >= next * (1 - fraction);
-    return near ? job.readyMicros() + next + run : 0;
+    double remainingFraction = policy.number(Policy.Name.LAST_CALL);
+    boolean atRisk =
+        nextLatestStartMicros < Long.MAX_VALUE
+            && wallMicros - job.readyMicros() >= nextLatestStartMicros * (1 - remainingFraction);
+    return atRisk ? job.readyMicros() + nextLatestStartMicros + runMicros : 0;
   }
 
   /**
-   * Admits jobs for one multiple of their deadlines, and gives them their keys.
+   * Admits jobs for one multiple of their deadlines and sets the keys of the admitted jobs.
    *
-   * @param workBefore the work of all jobs that come before these
-   * @param deferred takes the jobs that can't be in time
-   * @return the work including that of the jobs admitted
+   * @param workBefore the work of all jobs that come earlier in the order, in microseconds
+   * @param deferred receives the jobs that can't be in time
+   * @return {@code workBefore} plus the work of the admitted jobs, in microseconds
    */
   private long admit(
-      List<Job> open, int tier, int slots, long workBefore, long wallMicros, List<Job> deferred) {
+      List<Job> jobsWithDeadlines,
+      int tier,
+      int slots,
+      long workBefore,
+      long wallMicros,
+      List<Job> deferred) {
     List<Candidate> candidates =
-        candidates(open, objectives.deadlineMultiples().get(tier), deferred);
+        candidates(jobsWithDeadlines, objectives.deadlineMultiples().get(tier), deferred);
     PriorityQueue<Candidate> admitted =
         new PriorityQueue<>(
             Comparator.comparingLong(Candidate::workMicros)
@@ -248,14 +285,18 @@
     return workMicros;
   }
 
-  /** The jobs whose class has an objective for that multiple, by due time; others are deferred. */
-  private List<Candidate> candidates(List<Job> open, double multiple, List<Job> deferred) {
+  /**
+   * Returns the jobs whose class has an objective for the multiple, sorted by due time. All other
+   * jobs are added to {@code deferred}.
+   */
+  private List<Candidate> candidates(
+      List<Job> jobsWithDeadlines, double multiple, List<Job> deferred) {
     List<Candidate> candidates = new ArrayList<>();
-    for (Job job : open) {
-      if (objectives.multiplesOf(job).contains(multiple)) {
-        long due = dueMicros(job, multiple) - COMPLETION_MICROS;
-        long run = estimates.runMicros(job.spec());
-        candidates.add(new Candidate(job, pendingWorkMicros(job, run), run, due));
+    for (Job job : jobsWithDeadlines) {
+      if (objectives.deadlineMultiplesOf(job).contains(multiple)) {
+        long dueMicros = dueMicros(job, multiple) - COMPLETION_DELAY_MICROS;
+        long runMicros = estimates.runMicros(job.spec());
+        candidates.add(new Candidate(job, pendingWorkMicros(job, runMicros), runMicros, dueMicros));
       } else {
         deferred.add(job);
       }
@@ -266,18 +307,18 @@
     return candidates;
   }
 
-  /** Whether a job would be in time if its tasks started now, or has none left to start. */
+  /** Returns whether a job would be in time if its tasks started now, or has no pending tasks. */
   private static boolean isFeasibleAlone(Candidate candidate, long wallMicros) {
-    return wallMicros + START_MICROS + candidate.runMicros() <= candidate.dueMicros()
+    return wallMicros + START_DELAY_MICROS + candidate.runMicros() <= candidate.dueMicros()
         || candidate.workMicros() == 0;
   }
 
-  /** The run time of all of a job's pending tasks. */
+  /** Returns the run time of all pending tasks of a job, including their start delays. */
   private long pendingWorkMicros(Job job, long runMicros) {
     long tasks = 0;
     for (Slice slice : slices.ofJob(job.id())) {
       tasks += slice.pendingCount();
     }
-    return (runMicros + START_MICROS) * tasks;
+    return (runMicros + START_DELAY_MICROS) * tasks;
   }
 }
--- a/src/main/java/gladeknot/scheduling/GangPlacer.java
+++ b/src/main/java/gladeknot/scheduling/GangPlacer.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Places gangs: all tasks at once or none. */
+/** Places gangs: starts all tasks of a gang at once or none. */
 final class GangPlacer {
-  /** The choice of zones of a gang that may be in any: one search without a zone. */
+  /** Zones to search for a gang that is not colocated: one search, not limited to a zone. */
   private static final Set<String> ANY_ZONE = Collections.singleton(null);
 
   private final SliceRegistry slices;
@@ -34,7 +34,7 @@
   /**
    * Starts a gang if there are machines for all its tasks.
    *
-   * @return how many tasks are within quota but found no machines: none or all
+   * @return the number of tasks that are within quota but found no machine: none or all
    */
   int place(PendingSlice pending, SchedulingCycle cycle) {
     Slice slice = pending.slice();
@@ -49,8 +49,8 @@
       reservations.reserveQuota(pending, pendingTasks, allowed, cycle);
       return 0;
     }
-    for (String zone : zones(spec, cycle)) {
-      List<CandidateMachine> machines = machines(slice, spec, zone, cycle);
+    for (String zone : zonesToSearch(spec, cycle)) {
+      List<CandidateMachine> machines = selectMachines(slice, spec, zone, cycle);
       if (machines.size() == pendingTasks) {
         start(slice, machines, cycle);
         cycle.quota().charge(spec, pendingTasks);
@@ -60,7 +60,7 @@
     return pendingTasks;
   }
 
-  private static Set<String> zones(JobSpec spec, SchedulingCycle cycle) {
+  private static Set<String> zonesToSearch(JobSpec spec, SchedulingCycle cycle) {
     if (!spec.colocated()) {
       return ANY_ZONE;
     }
@@ -71,14 +71,17 @@
     return zones;
   }
 
-  /** The best machine for each of the tasks, as far as there are any; nothing stays allocated. */
-  private List<CandidateMachine> machines(
+  /**
+   * Selects the best machine for each pending task. Returns fewer machines than tasks if there are
+   * not enough. Nothing stays allocated on them.
+   */
+  private List<CandidateMachine> selectMachines(
       Slice slice, JobSpec spec, String zone, SchedulingCycle cycle) {
-    int needed = slice.pendingCount();
+    int wanted = slice.pendingCount();
     Map<String, Integer> tasksByZone = slices.zoneCounts(slice.job());
     List<CandidateMachine> chosen = new ArrayList<>();
-    while (chosen.size() < needed) {
-      CandidateMachine machine = selector.best(spec, cycle, zone, tasksByZone);
+    while (chosen.size() < wanted) {
+      CandidateMachine machine = selector.select(spec, cycle, zone, tasksByZone);
       if (machine == null) {
         break;
       }
@@ -93,7 +96,7 @@
   }
 
   private void start(Slice slice, List<CandidateMachine> machines, SchedulingCycle cycle) {
-    // All members share one attempt number, also in the messages to their workers.
+    // All tasks of a gang share one attempt number, also in the messages to their workers.
     long attemptNumber = slice.nextAttemptNumber();
     int task = slice.nextPending(0);
     for (CandidateMachine machine : machines) {
--- a/src/main/java/gladeknot/scheduling/GangReservations.java
+++ b/src/main/java/gladeknot/scheduling/GangReservations.java
@@ -6,9 +6,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reserves quota and machines for gangs that can't start yet, so that others don't use them up. */
+/**
+ * Reserves quota and machines for gangs that can't start yet, so that other jobs don't use them.
+ */
 final class GangReservations {
-  /** For so long a shard keeps its quota for a gang before it is the next shard's turn. */
+  /**
+   * Time for which one shard reserves its quota for gangs before the next shard does, in
+   * microseconds.
+   */
   private static final long ROTATION_MICROS = 10_000_000;
 
   private final Membership membership;
@@ -20,9 +25,13 @@
   }
 
   /**
-   * Reserves the quota that is left for a gang that needs more: work that comes after it must not
-   * use that up, or it never gets all it needs. Shards that could claim a starving gang do the same
-   * in rotation: if two kept a part each, neither would ever have enough.
+   * Reserves the remaining quota for a gang that needs more. If jobs that come after the gang used
+   * it, the gang might never get all the quota that it needs. For a starving gang, all shards that
+   * could claim it reserve quota in rotation: if two shards each reserved a part, neither would
+   * ever have enough. For a starving gang, machines are reserved as well.
+   *
+   * @param pendingTasks the number of the gang's pending tasks
+   * @param allowed the number of these tasks that the remaining quota allows
    */
   void reserveQuota(PendingSlice pending, int pendingTasks, int allowed, SchedulingCycle cycle) {
     JobSpec spec = pending.spec();
@@ -41,9 +50,12 @@
   }
 
   /**
-   * Reserves what becomes free on the machines that a gang could use and that nothing may be
-   * preempted on: the resources that it lacks are allocated for the rest of the cycle. A colocated
-   * gang gets them in the zone where most of its tasks could be.
+   * Reserves machines for the tasks of a gang that can't get resources by preemption, so that the
+   * gang gets what becomes free there. The resources of these tasks are allocated for the rest of
+   * the cycle, whether they are free or not. For a colocated gang, the machines are those of the
+   * zone that can run most of its tasks.
+   *
+   * @param count the number of tasks to reserve for
    */
   void reserveMachines(
       JobSpec spec, int count, SchedulingCycle cycle, Map<String, Integer> tasksByZone) {
@@ -60,7 +72,7 @@
     }
   }
 
-  /** The zone whose machines could run most tasks of a job; null if no machine accepts any. */
+  /** Returns the zone whose machines could run most tasks of a job; null if none accepts any. */
   private static String largestZone(
       JobSpec spec, SchedulingCycle cycle, Map<String, Integer> tasksByZone) {
     Map<String, Integer> capacityByZone = new HashMap<>();
--- a/src/main/java/gladeknot/scheduling/HomeShardSelector.java
+++ b/src/main/java/gladeknot/scheduling/HomeShardSelector.java
@@ -14,10 +14,10 @@
 import java.util.Map;
 
 /**
- * Selects the home shard of a new job. Most jobs stay with the controller that accepts them. A
- * service lies whole in its home shard: where a fetch of its image takes longer than the objective
- * of its class lets tasks wait, that is the shard in which most of its replicas find a machine with
- * free resources that has the image already.
+ * Selects the home shard of a new job. Most jobs stay in the home shard of the controller that
+ * accepts them. A service is the exception, because all its replicas are in its home shard. If a
+ * fetch of its image takes longer than the objective of its class allows tasks to wait, its home is
+ * the shard where most replicas find free resources on machines that already have the image.
  */
 public final class HomeShardSelector {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -27,10 +27,13 @@
   private final WorkerRegistry workers;
   private final MachineTypes types;
 
-  /** By class, how long tasks may wait for their start; no entry for classes without a limit. */
-  private final Map<String, Long> maxWaitMicros = new HashMap<>();
+  /**
+   * By class, the maximum time that tasks may wait for their start, in microseconds. Classes
+   * without such an objective have no entry.
+   */
+  private final Map<String, Long> maxWaitMicrosByClass = new HashMap<>();
 
-  /** A selector that uses the machines and attempts in the controller's copy of the state. */
+  /** Creates a selector that uses the machines and attempts in the controller's cache. */
   public HomeShardSelector(
       Settings settings,
       Membership membership,
@@ -43,22 +46,22 @@
     this.types = types;
     for (Settings.Objective objective : settings.objectives()) {
       if (objective.kind() == ObjectiveKind.WAIT) {
-        maxWaitMicros.merge(objective.jobClass(), objective.withinMicros(), Math::min);
+        maxWaitMicrosByClass.merge(objective.jobClass(), objective.withinMicros(), Math::min);
       }
     }
   }
 
-  /** The home shard of a new job. */
+  /** Returns the home shard of a new job. */
   public int home(JobSpec spec) {
     int best = membership.homeShard();
-    Long maxWait = maxWaitMicros.get(spec.jobClass());
-    if (spec.shape() != JobSpec.Shape.SERVICE || maxWait == null) {
+    Long maxWaitMicros = maxWaitMicrosByClass.get(spec.jobClass());
+    if (spec.shape() != JobSpec.Shape.SERVICE || maxWaitMicros == null) {
       return best;
     }
-    int[] replicas = quickReplicasByShard(spec, maxWait);
+    int[] replicas = replicasWithImageByShard(spec, maxWaitMicros);
     for (int shard = 0; shard < replicas.length; shard++) {
-      boolean more = replicas[shard] > replicas[best];
-      if (more && membership.liveOwner(shard).isPresent()) {
+      boolean hasMoreReplicas = replicas[shard] > replicas[best];
+      if (hasMoreReplicas && membership.liveOwner(shard).isPresent()) {
         best = shard;
       }
     }
@@ -66,17 +69,17 @@
   }
 
   /**
-   * For how many of a job's replicas each shard has free resources on machines that have the image
-   * and would otherwise take too long to fetch it.
+   * Returns, for each shard, the number of a job's replicas that fit into the free resources of
+   * machines that have the image. Only machines that would take too long to fetch it count.
    */
-  private int[] quickReplicasByShard(JobSpec spec, long maxWaitMicros) {
+  private int[] replicasWithImageByShard(JobSpec spec, long maxWaitMicros) {
     int[] replicas = new int[membership.shardCount()];
     for (Worker worker : workers.all()) {
       MachineType type = types.get(worker.type());
       if (type == null || !isUsable(worker, spec)) {
         continue;
       }
-      learnImages(worker, type);
+      inferCachedImages(worker, type);
       double fetchMicros = spec.imageGb() / type.fetchGbPerS() * MICROS_PER_SECOND;
       if (fetchMicros > maxWaitMicros && worker.hasImage(spec.image())) {
         int shard = worker.shard();
@@ -95,10 +98,10 @@
   }
 
   /**
-   * Workers of other controllers' shards send no heartbeats here: the tasks that they run by the
-   * copy of the state show which images they have.
+   * Infers from a worker's attempts in the cache which images the worker has. Workers of shards
+   * that this controller does not own send no heartbeats here that would report their images.
    */
-  private void learnImages(Worker worker, MachineType type) {
+  private void inferCachedImages(Worker worker, MachineType type) {
     if (membership.ownedShards().contains(worker.shard())) {
       return;
     }
--- a/src/main/java/gladeknot/scheduling/MachineTypes.java
+++ b/src/main/java/gladeknot/scheduling/MachineTypes.java
@@ -4,6 +4,6 @@
 
 /** Looks up machine types by name. */
 public interface MachineTypes {
-  /** The type of that name; null if the cloud hasn't listed it (yet). */
+  /** Returns the type with a name; null if the cloud has not listed it, or not yet. */
   MachineType get(String name);
 }
--- a/src/main/java/gladeknot/scheduling/NodeFilter.java
+++ b/src/main/java/gladeknot/scheduling/NodeFilter.java
@@ -3,20 +3,20 @@
 import gladeknot.jobs.JobSpec;
 import java.util.Map;
 
-/** Decides which machines a job's tasks may run on, whatever is free there. */
+/** Decides which machines a job's tasks may run on, regardless of their free resources. */
 final class NodeFilter {
   private NodeFilter() {}
 
-  /** Whether a job allows a machine by its type, zone and billing model. */
+  /** Returns whether a job allows a machine's type, zone and billing model. */
   static boolean satisfiesConstraints(JobSpec spec, CandidateMachine machine) {
     return spec.allowsMachine(machine.worker().type(), machine.zone(), machine.worker().spot());
   }
 
   /**
-   * Whether a job's next task may run on a machine.
+   * Returns whether a job's next task may run on a machine.
    *
    * @param zone the only zone to consider; null for all
-   * @param tasksByZone how many of the job's tasks are in each zone already
+   * @param tasksByZone the number of the job's tasks that are already in each zone
    */
   static boolean accepts(
       JobSpec spec, CandidateMachine machine, String zone, Map<String, Integer> tasksByZone) {
@@ -27,7 +27,10 @@
         && (spec.gpus() > 0 || machine.type().gpus() == 0 || !isService(spec));
   }
 
-  /** Services run for long: without this rule they would block machines with GPUs. */
+  /**
+   * Returns whether a job is a service. Services run for a long time. If those without GPUs were
+   * accepted on machines with GPUs, they would block these machines.
+   */
   private static boolean isService(JobSpec spec) {
     return spec.shape() == JobSpec.Shape.SERVICE;
   }
--- a/src/main/java/gladeknot/scheduling/NodeSelector.java
+++ b/src/main/java/gladeknot/scheduling/NodeSelector.java
@@ -3,7 +3,9 @@
 import gladeknot.jobs.JobSpec;
 import java.util.Map;
 
-/** Selects the machine for a task: filters, then takes the best score. */
+/**
+ * Selects the machine for a task: filters the machines, then selects the one with the best score.
+ */
 final class NodeSelector {
   private final NodeScorer scorer;
 
@@ -12,12 +14,12 @@
   }
 
   /**
-   * The best machine with free resources for a job's next task; null if there is none.
+   * Returns the best machine with free resources for a job's next task; null if there is none.
    *
    * @param zone the only zone to consider; null for all
-   * @param tasksByZone how many of the job's tasks are in each zone already
+   * @param tasksByZone the number of the job's tasks that are already in each zone
    */
-  CandidateMachine best(
+  CandidateMachine select(
       JobSpec spec, SchedulingCycle cycle, String zone, Map<String, Integer> tasksByZone) {
     CandidateMachine best = null;
     double bestScore = 0;
--- a/src/main/java/gladeknot/scheduling/PendingSlice.java
+++ b/src/main/java/gladeknot/scheduling/PendingSlice.java
@@ -9,13 +9,13 @@
  * A slice with pending tasks in the scheduling queue.
  *
  * @param slice the slice that the tasks are in
- * @param job its job
- * @param remote whether the slice is in another shard than the one that is being scheduled
- * @param starving whether newer work has taken precedence for too long
+ * @param job the job of the slice
+ * @param remote whether the slice is in a shard other than the one that is being scheduled
+ * @param starving whether newer jobs have taken precedence over the job for too long
  * @param guaranteed whether the job is within its team's guarantee
  * @param deadlineKey orders slices whose {@code order} is equal; see {@link DeadlineOrder#key}
- * @param order all criteria that come before the deadline key, as one number that is computed once:
- *     every cycle sorts all pending slices
+ * @param order all criteria that come before the deadline key, encoded in one number. It is
+ *     computed once per slice because every cycle sorts all pending slices.
  */
 record PendingSlice(
     Slice slice,
@@ -25,19 +25,21 @@
     boolean guaranteed,
     long deadlineKey,
     int order) {
-  // The criteria of the order, from the last to the first. Each weight exceeds the sum of all that
-  // come after it: remote 0..1, deadline tier 0..8 times two, then two flags and the priority.
+  // Weights of the criteria in the order, from the least to the most significant: the remote flag
+  // (0
+  // or 1), the deadline tier (0 to 8), two flags and the priority. Each weight exceeds the maximum
+  // sum of all less significant terms.
 
-  /** The owned shard's work comes first among that of one tier. */
-  private static final int REMOTE = 1;
+  /** Weight of the remote flag: slices of the scheduled shard come first within a tier. */
+  private static final int REMOTE_WEIGHT = 1;
 
-  private static final int DEADLINE_TIER = 2;
-  private static final int NOT_GUARANTEED = 32;
-  private static final int NOT_STARVING = 64;
-  private static final int PRIORITY = 128;
+  private static final int DEADLINE_TIER_WEIGHT = 2;
+  private static final int NOT_GUARANTEED_WEIGHT = 32;
+  private static final int NOT_STARVING_WEIGHT = 64;
+  private static final int PRIORITY_WEIGHT = 128;
 
-  /** Clears whose shard it is, and the deadline tier, which the deadline key implies. */
-  private static final int DEMAND_ORDER_MASK = -NOT_GUARANTEED;
+  /** Mask that clears the remote flag and the deadline tier, which the deadline key implies. */
+  private static final int DEMAND_ORDER_MASK = -NOT_GUARANTEED_WEIGHT;
 
   PendingSlice(
       Slice slice,
@@ -54,14 +56,14 @@
         starving,
         guaranteed,
         deadlineKey,
-        priority.ordinal() * PRIORITY
-            + (starving ? 0 : NOT_STARVING)
-            + (guaranteed ? 0 : NOT_GUARANTEED)
-            + DeadlineOrder.tier(deadlineKey) * DEADLINE_TIER
-            + (remote ? REMOTE : 0));
+        priority.ordinal() * PRIORITY_WEIGHT
+            + (starving ? 0 : NOT_STARVING_WEIGHT)
+            + (guaranteed ? 0 : NOT_GUARANTEED_WEIGHT)
+            + DeadlineOrder.tier(deadlineKey) * DEADLINE_TIER_WEIGHT
+            + (remote ? REMOTE_WEIGHT : 0));
   }
 
-  /** The same for the slice of the scheduled shard that claims its tasks. */
+  /** Returns this entry for the slice of the scheduled shard that claims the tasks. */
   PendingSlice claimedBy(Slice claiming) {
     return new PendingSlice(claiming, job, false, starving, guaranteed, deadlineKey, order);
   }
@@ -74,21 +76,22 @@
     return job.spec().shape() == JobSpec.Shape.GANG;
   }
 
-  /** Whether one task is all that its precedence as starving work is for. */
+  /** Returns whether the precedence of a starving slice applies to only one of its tasks. */
   boolean limitedToOneTask() {
     return starving && !job.spec().unsplit();
   }
 
-  /** What its tasks require; null if their zones depend on one another. */
+  /** Returns the requirements of the tasks; null if their zones depend on one another. */
   TaskRequirements requirements() {
     JobSpec spec = job.spec();
     return spec.spread() || spec.colocated() ? null : slice.requirements(spec);
   }
 
   /**
-   * The order of a scheduling cycle: priority, starving work, guarantees, the deadline that can
-   * still be met, the scheduled shard's own work, the deadline key, age. Own work that is late for
-   * its deadlines must not come before what can be in time elsewhere.
+   * Compares slices for the order of a scheduling cycle. The criteria are the priority, starving
+   * jobs, guarantees, the deadline tier, slices of the scheduled shard, the deadline key and the
+   * age. The deadline tier comes before the shard because late slices of the scheduled shard must
+   * not come before slices of other shards that can be in time.
    */
   static int compareForCycle(PendingSlice first, PendingSlice second) {
     return first.order != second.order
@@ -96,7 +99,7 @@
         : compareByDeadline(first, second);
   }
 
-  /** The order of demand for scale-out, which treats the slices of all shards alike. */
+  /** Compares slices for the order of scale-out demand, which treats all shards alike. */
   static int compareForDemand(PendingSlice first, PendingSlice second) {
     int firstOrder = first.order & DEMAND_ORDER_MASK;
     int secondOrder = second.order & DEMAND_ORDER_MASK;
--- a/src/main/java/gladeknot/scheduling/Preemption.java
+++ b/src/main/java/gladeknot/scheduling/Preemption.java
@@ -17,35 +17,41 @@
 import java.util.function.Function;
 
 /**
- * Which tasks may be preempted for a job: those of lower priority, and what another team runs
- * beyond its own guarantee if that brings the job's team its guarantee.
+ * Determines which tasks may be preempted for a job. These are tasks of lower priority and, for a
+ * job within the guarantee of its team, tasks that other teams run beyond their guarantees.
  */
 final class Preemption {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** What is lost with a task that isn't known to run yet. */
-  private static final double NOT_RUNNING_LOSS_S = 0.5;
+  /** Loss by preempting a task that is not known to run yet, in seconds. */
+  private static final double NOT_RUNNING_LOSS_SECONDS = 0.5;
 
-  /** Work done while a preempted task makes its last checkpoint, and is started again from it. */
-  private static final double CHECKPOINT_OVERHEAD_S = 2;
+  /**
+   * Machine time lost besides the checkpoint itself when a preempted task makes its last checkpoint
+   * and is started again from it, in seconds.
+   */
+  private static final double CHECKPOINT_OVERHEAD_SECONDS = 2;
 
-  /** Any restart costs so much, however short the task ran. */
-  private static final double RESTART_LOSS_S = 1;
+  /** Cost of a restart in seconds, even if the task has just started. */
+  private static final double RESTART_LOSS_SECONDS = 1;
 
-  /** GPUs are counted in thousandths: a task with one GPU loses twice as much as one without. */
-  private static final double GPU_UNIT = 1000.0;
+  /** Thousandths per GPU. A task with one GPU loses twice as much as a task without GPUs. */
+  private static final double THOUSANDTHS_PER_GPU = 1000.0;
 
   private final Policy policy;
   private final JobRegistry jobs;
   private final TeamGuarantees guarantees;
   private final Function<Job, JobSpec.Priority> inheritedPriority;
 
-  /** What was found in this cycle on whether there is any victim for a request. */
+  /** By request, whether any victim was found in this cycle. */
   private final Map<PreemptionRequest, Boolean> hasVictims = new HashMap<>();
 
   /**
-   * A running job is protected by its inherited priority, which may come from a job that depends on
-   * it; it preempts others by its own priority alone.
+   * Creates an instance without cached results.
+   *
+   * @param inheritedPriority returns the priority that protects a job's running tasks, which may
+   *     come from a job that depends on it. When the job preempts others, only its own priority
+   *     counts.
    */
   Preemption(
       Policy policy,
@@ -59,36 +65,36 @@
   }
 
   /**
-   * Victims on one machine.
+   * Tasks to preempt on one machine.
    *
-   * @param victims the tasks to preempt; empty if the resources are being freed anyway
-   * @param lossS what their preemption loses, in seconds of work
+   * @param victims the tasks to preempt; empty if terminating tasks free enough resources
+   * @param lossSeconds the total loss by their preemption, in seconds of work
    */
-  record Plan(List<Attempt> victims, double lossS) {
-    /** Nothing needs to be preempted. */
+  record Plan(List<Attempt> victims, double lossSeconds) {
+    /** A plan that preempts nothing. */
     static final Plan NONE = new Plan(List.of(), 0);
   }
 
-  /** A scheduling cycle begins: victims are searched anew. */
+  /** Begins a scheduling cycle: clears the cached results of the last one. */
   void beginCycle() {
     hasVictims.clear();
   }
 
-  /** What a job may preempt; {@code equalPriority} as in {@link PreemptionRequest}. */
+  /** Returns the request of a job; {@code equalPriority} as in {@link PreemptionRequest}. */
   PreemptionRequest request(JobSpec spec, boolean equalPriority) {
     return new PreemptionRequest(
         spec.priority(), spec.team(), guarantees.isGuaranteed(spec.id()), equalPriority);
   }
 
   /**
-   * Whether any task on the workers may be preempted. Most often there is none, and one search in
-   * each cycle shows that for all jobs with an equal request.
+   * Returns whether any task on the workers may be preempted. Usually none may be. The result is
+   * cached, so that one search in each cycle serves all jobs with an equal request.
    */
   boolean hasVictims(PreemptionRequest request, Collection<Worker> workers, long nowMicros) {
-    return hasVictims.computeIfAbsent(request, key -> searchVictim(key, workers, nowMicros));
+    return hasVictims.computeIfAbsent(request, key -> findVictim(key, workers, nowMicros));
   }
 
-  private boolean searchVictim(
+  private boolean findVictim(
       PreemptionRequest request, Collection<Worker> workers, long nowMicros) {
     for (Worker worker : workers) {
       for (Attempt attempt : worker.attempts().values()) {
@@ -114,29 +120,33 @@
         && job.spec().priority().ordinal() >= priority
         && request.guaranteed()
         && !guarantees.isGuaranteed(job.id())
-        && lossS(attempt, nowMicros) <= policy.number(Policy.Name.YOUNG)
+        && lossSeconds(attempt, nowMicros) <= policy.number(Policy.Name.YOUNG)
         && guarantees.isBeyondGuarantee(attempt.slice());
   }
 
-  /** What the preemption of a task loses, in seconds of its machine's work. */
-  private double lossS(Attempt attempt, long nowMicros) {
+  /** Returns the loss by preempting a task, in seconds of its machine's work. */
+  private double lossSeconds(Attempt attempt, long nowMicros) {
     if (attempt.runningSinceMicros() == 0) {
-      return NOT_RUNNING_LOSS_S;
+      return NOT_RUNNING_LOSS_SECONDS;
     }
     JobSpec spec = jobs.active(attempt.slice().job()).spec();
-    double ranS = (nowMicros - attempt.runningSinceMicros()) / MICROS_PER_SECOND;
-    double lostS =
+    double ranSeconds = (nowMicros - attempt.runningSinceMicros()) / MICROS_PER_SECOND;
+    double lostSeconds =
         spec.checkpointIntervalMicros() > 0
-            ? Math.min(ranS, CHECKPOINT_OVERHEAD_S + spec.checkpointMicros() / MICROS_PER_SECOND)
-            : ranS;
-    // A task that uses more of the machine loses more of its work.
-    return (lostS + RESTART_LOSS_S) * (1 + attempt.slice().gpus() / GPU_UNIT);
+            ? Math.min(
+                ranSeconds,
+                CHECKPOINT_OVERHEAD_SECONDS + spec.checkpointMicros() / MICROS_PER_SECOND)
+            : ranSeconds;
+    // A task with GPUs uses more of its machine, so more of the machine's work is lost.
+    return (lostSeconds + RESTART_LOSS_SECONDS)
+        * (1 + attempt.slice().gpus() / THOUSANDTHS_PER_GPU);
   }
 
   /**
-   * The victims with the least loss that make a machine fit for a task; null if there are none.
+   * Returns a plan whose victims, chosen in ascending order of loss, free enough resources for a
+   * task on a machine; null if no such plan exists.
    *
-   * @param alreadyChosen attempts that are victims for other tasks
+   * @param alreadyChosen attempts that are already victims for other tasks
    */
   Plan plan(
       CandidateMachine machine,
@@ -153,28 +163,31 @@
     if (preemptible.isEmpty()) {
       return machine.fitsAfterTermination(spec) ? Plan.NONE : null;
     }
-    preemptible.sort(Comparator.comparingDouble(attempt -> lossS(attempt, nowMicros)));
-    return cheapest(preemptible, new ResourceShortfall(machine, spec), nowMicros);
+    preemptible.sort(Comparator.comparingDouble(attempt -> lossSeconds(attempt, nowMicros)));
+    return selectVictims(preemptible, new ResourceShortfall(machine, spec), nowMicros);
   }
 
-  private Plan cheapest(List<Attempt> byLoss, ResourceShortfall shortfall, long nowMicros) {
+  private Plan selectVictims(List<Attempt> byLoss, ResourceShortfall shortfall, long nowMicros) {
     List<Attempt> victims = new ArrayList<>();
-    double totalLossS = 0;
+    double totalLossSeconds = 0;
     for (Attempt attempt : byLoss) {
       if (shortfall.isCovered()) {
         break;
       }
       if (shortfall.isReducedBy(attempt.slice())) {
         victims.add(attempt);
-        totalLossS += lossS(attempt, nowMicros);
+        totalLossSeconds += lossSeconds(attempt, nowMicros);
         shortfall.reduceBy(attempt.slice());
       }
     }
-    return shortfall.isCovered() ? new Plan(victims, totalLossS) : null;
+    return shortfall.isCovered() ? new Plan(victims, totalLossSeconds) : null;
   }
 
-  /** The grace period of a victim in seconds: long enough for a checkpoint if it makes any. */
-  double graceS(Attempt attempt) {
+  /**
+   * Returns the grace period of a victim in seconds, which is long enough for a checkpoint if its
+   * job makes checkpoints.
+   */
+  double gracePeriodSeconds(Attempt attempt) {
     Job job = jobs.active(attempt.slice().job());
     return job == null ? 0 : TerminationGrace.seconds(job.spec());
   }
--- a/src/main/java/gladeknot/scheduling/PriorityInheritance.java
+++ b/src/main/java/gladeknot/scheduling/PriorityInheritance.java
@@ -11,15 +11,19 @@
 import java.util.Map;
 
 /**
- * What jobs inherit from the jobs that depend on them: the highest priority among these, and the
- * time by which they have to end so that the last job of a pipeline can still be in time.
+ * Computes what jobs inherit from the jobs that depend on them, directly or not. A job inherits the
+ * highest priority among its dependents, and the time by which it has to end so that all dependents
+ * can still meet their deadlines.
  */
 final class PriorityInheritance {
-  /** Stands for no time by which a job has to end. */
-  static final long NEVER = Long.MAX_VALUE / 4;
+  /** Time of day, in microseconds, that stands for no deadline. */
+  static final long NO_DEADLINE_MICROS = Long.MAX_VALUE / 4;
 
-  /** From the end of a job to the next one's tasks running: a commit, a heartbeat, an image. */
-  private static final long HANDOVER_MICROS = 3_000_000;
+  /**
+   * Time from the end of a job until the tasks of a dependent job run, in microseconds. It covers a
+   * commit, a heartbeat and an image fetch.
+   */
+  private static final long DEPENDENT_START_DELAY_MICROS = 3_000_000;
 
   private record Inherited(JobSpec.Priority priority, long latestEndMicros) {
     private Inherited mostUrgent(Inherited other) {
@@ -38,45 +42,49 @@
     this.estimates = estimates;
   }
 
-  /** Computes anew what is inherited, by the present estimates of run times. */
+  /** Recomputes what jobs inherit, with the current estimates of run times. */
   void refresh() {
     inheritedByJob.clear();
     List<Job> dependents = new ArrayList<>(jobs.held());
-    // A job is accepted after those that it depends on, so its record has the higher revision. In
-    // this order, all that a job inherits is known before it passes that on.
+    // A job is accepted after its dependencies, so its record has a higher revision than theirs. In
+    // descending order of revisions, a job has inherited from all its dependents before its
+    // dependencies inherit from it.
     dependents.sort(Comparator.comparingLong(Job::modRevision).reversed());
     for (Job dependent : dependents) {
-      Inherited passedOn = new Inherited(priority(dependent), latestStartMicros(dependent));
+      Inherited fromDependent = new Inherited(priority(dependent), latestStartMicros(dependent));
       for (String dependency : jobs.openDependencies(dependent.id())) {
-        inheritedByJob.merge(dependency, passedOn, Inherited::mostUrgent);
+        inheritedByJob.merge(dependency, fromDependent, Inherited::mostUrgent);
       }
     }
   }
 
   private long latestStartMicros(Job job) {
-    long latestEnd = latestEndMicros(job);
-    return latestEnd < NEVER
-        ? latestEnd - estimates.runMicros(job.spec()) - HANDOVER_MICROS
-        : latestEnd;
+    long latestEndMicros = latestEndMicros(job);
+    return latestEndMicros < NO_DEADLINE_MICROS
+        ? latestEndMicros - estimates.runMicros(job.spec()) - DEPENDENT_START_DELAY_MICROS
+        : latestEndMicros;
   }
 
-  /** The highest priority among a job and all that depend on it. */
+  /** Returns the highest priority among a job and the jobs that depend on it. */
   JobSpec.Priority priority(Job job) {
     Inherited inherited = inheritedByJob.get(job.id());
-    JobSpec.Priority own = job.spec().priority();
-    return inherited == null || own.compareTo(inherited.priority()) <= 0
-        ? own
+    JobSpec.Priority ownPriority = job.spec().priority();
+    return inherited == null || ownPriority.compareTo(inherited.priority()) <= 0
+        ? ownPriority
         : inherited.priority();
   }
 
   /**
-   * By when a job has to end for its own deadline and for those of the jobs that depend on it, by
-   * the time of day; {@link #NEVER} if there are none.
+   * Returns the time of day by which a job has to end for its own deadline and for those of the
+   * jobs that depend on it; {@link #NO_DEADLINE_MICROS} if there are no deadlines.
    */
   long latestEndMicros(Job job) {
-    long deadline = job.spec().deadlineMicros();
-    long own = deadline == 0 ? NEVER : job.submittedMicros() + deadline;
+    long relativeDeadlineMicros = job.spec().deadlineMicros();
+    long ownEndMicros =
+        relativeDeadlineMicros == 0
+            ? NO_DEADLINE_MICROS
+            : job.submittedMicros() + relativeDeadlineMicros;
     Inherited inherited = inheritedByJob.get(job.id());
-    return inherited == null ? own : Math.min(own, inherited.latestEndMicros());
+    return inherited == null ? ownEndMicros : Math.min(ownEndMicros, inherited.latestEndMicros());
   }
 }
--- a/src/main/java/gladeknot/scheduling/RemainingQuota.java
+++ b/src/main/java/gladeknot/scheduling/RemainingQuota.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What is left of each team's quota in one shard while a scheduling cycle uses it up. */
+/** Remaining quota of each team in one shard during a scheduling cycle. */
 final class RemainingQuota {
   private final QuotaAllocator allocator;
   private final int shard;
@@ -17,45 +17,51 @@
     this.shard = shard;
   }
 
-  /** How many tasks of a job the quota allows. */
+  /** Returns the number of tasks of a job that the remaining quota allows; never negative. */
   int allowedTasks(JobSpec spec) {
-    long count = tasksWithin(of(spec.team()), spec);
+    long count = tasksWithin(remainingOf(spec.team()), spec);
     return (int) Math.max(0, Math.min(count, Integer.MAX_VALUE));
   }
 
-  /** How many tasks of a job an amount of resources suffices for; may be negative. */
+  /** Returns the number of tasks of a job that an amount suffices for; may be negative. */
   static long tasksWithin(ResourceAmount amount, JobSpec spec) {
     long count = amount.cpus() / spec.cpus();
     return spec.gpus() > 0 ? Math.min(count, amount.gpus() / spec.gpus()) : count;
   }
 
-  /** What so many tasks of a job use. */
+  /** Returns the amount that {@code count} tasks of a job use. */
   static ResourceAmount amountOf(JobSpec spec, long count) {
     return new ResourceAmount(spec.cpus() * count, spec.gpus() * count);
   }
 
-  /** An amount less what so many tasks of a job use. */
+  /** Returns an amount less what {@code count} tasks of a job use. */
   static ResourceAmount subtract(ResourceAmount amount, JobSpec spec, long count) {
     return new ResourceAmount(
         amount.cpus() - spec.cpus() * count, amount.gpus() - spec.gpus() * count);
   }
 
-  /** Takes what so many tasks of a job use, for the rest of the cycle. */
+  /** Subtracts what {@code count} tasks of a job use, for the rest of the cycle. */
   void charge(JobSpec spec, int count) {
     if (count > 0) {
       allocator.logDecision(spec, shard, count);
     }
-    remaining.put(spec.team(), subtract(of(spec.team()), spec, count));
+    remaining.put(spec.team(), subtract(remainingOf(spec.team()), spec, count));
   }
 
-  /** Keeps the shard from transferring to others what so many tasks of a job will use. */
+  /**
+   * Reserves quota for {@code count} tasks of a job, so that the shard does not transfer it to
+   * other shards.
+   */
   void reserve(JobSpec spec, int count) {
     allocator.reserve(spec.team(), shard, amountOf(spec, count));
   }
 
-  /** Reports what is missing for so many tasks of a job, so that other shards transfer it. */
+  /**
+   * Reports the quota that is missing for {@code count} tasks of a job, so that other shards
+   * transfer some.
+   */
   void reportDeficit(JobSpec spec, long count) {
-    ResourceAmount available = of(spec.team());
+    ResourceAmount available = remainingOf(spec.team());
     allocator.reportDeficit(
         spec.team(),
         shard,
@@ -64,7 +70,7 @@
             Math.max(0, spec.gpus() * count - available.gpus())));
   }
 
-  private ResourceAmount of(String team) {
+  private ResourceAmount remainingOf(String team) {
     return remaining.computeIfAbsent(team, name -> allocator.available(name, shard));
   }
 }
--- a/src/main/java/gladeknot/scheduling/ReservationPlan.java
+++ b/src/main/java/gladeknot/scheduling/ReservationPlan.java
@@ -9,8 +9,9 @@
 import java.util.Set;
 
 /**
- * Which machines will have resources for the tasks of one job, and what has to be preempted there.
- * What it reserves is allocated on the candidate machines for the rest of the cycle.
+ * Plan of the machines that will have resources for the tasks of one job, and of the tasks to
+ * preempt there. Resources that the plan reserves are allocated on the candidate machines for the
+ * rest of the cycle.
  */
 final class ReservationPlan {
   private final JobSpec spec;
@@ -18,26 +19,32 @@
   private final Preemption preemption;
   private final NodeScorer scorer;
 
-  /** What the job may preempt; null if it may not preempt anything now. */
+  /** Request that determines what the job may preempt; null if it may not preempt now. */
   private final PreemptionRequest request;
 
   private final Map<String, Integer> tasksByZone;
   private final List<Option> options = new ArrayList<>();
 
   /**
-   * In the order in which they were chosen, which is the order of their kill commands. Most plans
-   * have none: the set is created with the first.
+   * Attempts to preempt, in the order in which they were chosen, which is the order of their kill
+   * commands. Most plans have none, so a mutable set is created only with the first.
    */
   private Set<Attempt> victims = Set.of();
 
-  /** A machine for a task, at the cost of what is preempted there and of the machine's score. */
+  /**
+   * A machine for one task.
+   *
+   * @param machine the machine
+   * @param preemptions the tasks to preempt on the machine
+   * @param cost the loss by the preemptions plus the score of the machine, in seconds
+   */
   private record Option(CandidateMachine machine, Preemption.Plan preemptions, double cost) {}
 
   /**
-   * A plan that has reserved nothing yet.
+   * Creates a plan without reservations.
    *
-   * @param request what the job may preempt; null for nothing
-   * @param tasksByZone how many of the job's tasks are in each zone; the plan adds to it
+   * @param request determines what the job may preempt; null for nothing
+   * @param tasksByZone the number of the job's tasks in each zone; the plan adds to it
    */
   ReservationPlan(
       JobSpec spec,
@@ -54,7 +61,11 @@
     this.tasksByZone = tasksByZone;
   }
 
-  /** Finds the machines that would do for a task; false if there are none. */
+  /**
+   * Finds the machines that will have resources for a task, after preemptions where allowed.
+   *
+   * @return whether there are any
+   */
   boolean findOptions() {
     for (CandidateMachine machine : cycle.machines()) {
       if (NodeFilter.accepts(spec, machine, null, tasksByZone)
@@ -68,7 +79,11 @@
     return !options.isEmpty();
   }
 
-  /** Reserves resources for up to so many tasks; returns for how many there are none. */
+  /**
+   * Reserves resources for up to {@code count} tasks.
+   *
+   * @return the number of tasks for which there are no resources
+   */
   int reserve(int count) {
     int remaining = count;
     while (remaining > 0) {
@@ -76,7 +91,7 @@
       if (best < 0) {
         break;
       }
-      CandidateMachine machine = take(options.get(best));
+      CandidateMachine machine = reserveOption(options.get(best));
       remaining--;
       Option next = option(machine);
       if (next == null) {
@@ -88,12 +103,12 @@
     return remaining;
   }
 
-  /** What has to be preempted for the tasks that resources were reserved for. */
+  /** Returns the attempts to preempt for the tasks that have reservations. */
   Set<Attempt> victims() {
     return victims;
   }
 
-  /** The option for one more task on a machine; null if that can't be. */
+  /** Returns the option for one more task on a machine; null if it can't get the resources. */
   private Option option(CandidateMachine machine) {
     Preemption.Plan plan = Preemption.Plan.NONE;
     if (!machine.fitsAfterTermination(spec)) {
@@ -106,10 +121,10 @@
       return null;
     }
     double score = scorer.score(spec, machine, 0, cycle.nowMicros());
-    return new Option(machine, plan, plan.lossS() + score);
+    return new Option(machine, plan, plan.lossSeconds() + score);
   }
 
-  /** The index of the cheapest option in an allowed zone; -1 if there is none. */
+  /** Returns the index of the cheapest option in an allowed zone; -1 if there is none. */
   private int cheapestOption() {
     int best = -1;
     double bestCost = 0;
@@ -128,7 +143,7 @@
     return best;
   }
 
-  private CandidateMachine take(Option option) {
+  private CandidateMachine reserveOption(Option option) {
     CandidateMachine machine = option.machine();
     for (Attempt victim : option.preemptions().victims()) {
       if (victims.isEmpty()) {
--- a/src/main/java/gladeknot/scheduling/ResourceUsage.java
+++ b/src/main/java/gladeknot/scheduling/ResourceUsage.java
@@ -2,23 +2,23 @@
 
 import gladeknot.settings.Settings;
 
-/** A running sum of CPUs and GPUs, in thousandths. */
+/** Running sum of CPUs and GPUs, in thousandths. */
 final class ResourceUsage {
   private long cpus;
   private long gpus;
 
-  /** Adds so many tasks, each with these resources; a negative count subtracts them. */
+  /** Adds the resources of a number of equal tasks; a negative number subtracts them. */
   void add(long taskCpus, long taskGpus, long tasks) {
     cpus += taskCpus * tasks;
     gpus += taskGpus * tasks;
   }
 
-  /** Whether the sum is within a team's guarantee; GPUs count only where a job uses some. */
+  /** Returns whether the sum is within a team's guarantee. GPUs count only if the job uses GPUs. */
   boolean isWithinGuarantee(Settings.Team team, boolean usesGpus) {
     return cpus <= team.cpus() && (!usesGpus || gpus <= team.gpus());
   }
 
-  /** Whether a team keeps its guarantee without one task that has these resources. */
+  /** Returns whether the sum without one task of these resources still covers the guarantee. */
   boolean exceedsGuaranteeWithout(long taskCpus, long taskGpus, Settings.Team team) {
     return cpus - taskCpus >= team.cpus() && (taskGpus == 0 || gpus - taskGpus >= team.gpus());
   }
--- a/src/main/java/gladeknot/scheduling/ScaleOutDemand.java
+++ b/src/main/java/gladeknot/scheduling/ScaleOutDemand.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Computes which pending tasks need machines, so that the fleet can scale out for them. */
+/** Computes which pending tasks require machines, so that the fleet can scale out for them. */
 final class ScaleOutDemand {
   private final Policy policy;
   private final SliceRegistry slices;
@@ -36,7 +36,7 @@
     this.offeredZones = offeredZones;
   }
 
-  /** The pending tasks of all shards, in the order in which they would get machines. */
+  /** Returns the pending tasks of all shards, in the order in which they would get machines. */
   List<PendingDemand> compute(long nowMicros, long wallMicros) {
     List<PendingDemand> demand = new ArrayList<>();
     Map<String, ResourceAmount> headroom = new HashMap<>();
@@ -60,13 +60,14 @@
     return demand;
   }
 
-  /** How many of a slice's pending tasks could run if there were machines. */
+  /** Returns the number of a slice's pending tasks that could run if there were machines. */
   private long runnableTasks(PendingSlice pending, ResourceAmount available) {
     JobSpec spec = pending.spec();
     long count = pending.slice().pendingCount();
-    // Quota will be reserved for starving work that stays whole: it must not lack a machine then.
+    // The limit does not apply to starving jobs that are kept in one slice: quota will be reserved
+    // for them, and they must have machines by then.
     if (!pending.starving() || !spec.unsplit()) {
-      // Tasks that their team's limit keeps from running anywhere need no machine.
+      // Tasks that can't run in any shard because of their team's limit require no machine.
       count = Math.min(count, RemainingQuota.tasksWithin(available, spec));
     }
     if (spec.shape() == JobSpec.Shape.SERVICE && spec.spread()) {
@@ -75,7 +76,7 @@
     return count;
   }
 
-  /** How many more tasks of a spread job the zones may take. */
+  /** Returns the number of further tasks of a spread job that the zones may run. */
   private long spreadCapacity(Slice slice, JobSpec spec) {
     Map<String, Integer> tasksByZone = slices.zoneCounts(slice.job());
     long capacity = 0;
@@ -86,9 +87,9 @@
   }
 
   private boolean isStarving(PendingSlice pending, long nowMicros, long wallMicros) {
-    long since = pending.slice().pendingSinceMicros();
+    long pendingSinceMicros = pending.slice().pendingSinceMicros();
     return deadlineOrder.isLate(pending.job(), wallMicros)
-        && since != 0
-        && nowMicros - since > policy.micros(Policy.Name.PATIENCE);
+        && pendingSinceMicros != 0
+        && nowMicros - pendingSinceMicros > policy.micros(Policy.Name.PATIENCE);
   }
 }
--- a/src/main/java/gladeknot/scheduling/Scheduler.java
+++ b/src/main/java/gladeknot/scheduling/Scheduler.java
@@ -21,42 +21,57 @@
 import java.util.function.Supplier;
 
 /**
- * Runs scheduling cycles for the shards that this controller owns, and answers the fleet's
- * questions on jobs and machines. It runs on the controller's single thread.
+ * Runs scheduling cycles for the shards that this controller owns. It also provides the fleet with
+ * information on jobs and machines. It runs on the controller's single thread.
  */
 public final class Scheduler {
-  /** The shortest interval between two rounds, in a fleet of few machines. */
-  private static final long ROUND_INTERVAL_MICROS = 60_000;
+  /** Minimum interval between two rounds, in microseconds. It applies to small fleets. */
+  private static final long MIN_ROUND_INTERVAL_MICROS = 60_000;
 
   /**
-   * For so many machines in each shard the shortest interval holds, and a longer one in proportion
-   * for more: a cycle visits all of them. What it decides waits for a commit, which takes longer.
+   * Number of machines in each shard up to which the minimum interval applies. For more machines
+   * the interval is longer in proportion, because a cycle visits all of them. The delay matters
+   * little: the decisions of a cycle wait for a commit, which takes longer.
    */
-  private static final double MACHINES_PER_SHORT_ROUND = 25;
+  private static final double MACHINES_AT_MIN_INTERVAL = 25;
 
-  private static final double MAX_BACK_OFF_FACTOR = 8;
+  /** Maximum ratio of the interval between two rounds to the minimum interval. */
+  private static final double MAX_BACKOFF_FACTOR = 8;
 
-  /** A round comes after that time even if no event asked for it: time makes workers usable too. */
+  /**
+   * Maximum interval between two rounds if no event requires one, in microseconds. A round without
+   * an event is necessary because workers also become schedulable by the passing of time.
+   */
   private static final long MAX_IDLE_MICROS = 400_000;
 
-  /** From a decision to a running task, as long as the start hasn't been reported. */
-  private static final long START_MICROS = 4_000_000;
+  /**
+   * Expected time from the decision to start a task until it runs, in microseconds. It is used
+   * until the start has been reported.
+   */
+  private static final long START_DELAY_MICROS = 4_000_000;
 
-  /** Until a task that is being terminated, or whose job is over, has exited. */
-  private static final long TERMINATION_MICROS = 1_000_000;
+  /**
+   * Expected time until a task exits that is being terminated or whose job is over, in
+   * microseconds.
+   */
+  private static final long TERMINATION_DELAY_MICROS = 1_000_000;
 
-  /** A task that exceeds its estimate is expected to run for this part of the estimate longer. */
-  private static final int OVERRUN_DIVISOR = 10;
+  /**
+   * Divisor of the estimated run time that gives the minimum remaining run time of a task. The
+   * minimum applies to tasks that exceed their estimate.
+   */
+  private static final int MIN_REMAINING_RUN_DIVISOR = 10;
 
-  /** Run times from here on stand for no known end. */
+  /** Estimated run time, in microseconds, from which on the end of a task counts as unknown. */
   private static final long UNKNOWN_RUN_MICROS = Long.MAX_VALUE / 4;
 
-  /** With so many failed attempts in a row, a machine gets no new tasks. */
+  /** Number of consecutive failed attempts from which on a machine gets no new tasks. */
   private static final int MAX_CONSECUTIVE_FAILURES = 4;
 
-  /** A worker may miss one heartbeat, and this is for the way of the next. */
-  private static final int HEARTBEAT_INTERVALS = 2;
+  /** Maximum age of a schedulable worker's heartbeat, in intervals: a worker may miss one. */
+  private static final int MAX_HEARTBEAT_AGE_INTERVALS = 2;
 
+  /** Margin for the transmission of a heartbeat, in microseconds. */
   private static final long HEARTBEAT_MARGIN_MICROS = 500_000;
 
   private final Settings settings;
@@ -83,7 +98,7 @@
   private long wallMicros;
 
   /**
-   * A scheduler that has decided nothing yet.
+   * Creates a scheduler.
    *
    * @param types looks up the machine types that the cloud offers
    * @param offeredZones the zones in which machines can be launched
@@ -137,7 +152,10 @@
             reservations);
   }
 
-  /** Runs a round of cycles if it is due and something has changed, or nothing for long. */
+  /**
+   * Runs a round of cycles if the interval between rounds has passed and either an event requires a
+   * round or the maximum idle time has passed.
+   */
   public void tick(long now, long wall) {
     nowMicros = now;
     wallMicros = wall;
@@ -147,23 +165,24 @@
     runRound();
   }
 
-  /** Runs a round of cycles if something has changed and the last round isn't too recent. */
+  /** Runs a round of cycles if an event requires it and the interval between rounds has passed. */
   public void runIfNeeded() {
     if (nowMicros >= nextRoundMicros && lifecycle.takeSchedulingNeeded()) {
       runRound();
     }
   }
 
-  /** How many rounds have been run. */
+  /** Returns the number of completed rounds. */
   public long completedRounds() {
     return completedRounds;
   }
 
   private void runRound() {
     completedRounds++;
-    double factor = workers.all().size() / (MACHINES_PER_SHORT_ROUND * membership.shardCount());
-    double backOff = Math.max(1, Math.min(MAX_BACK_OFF_FACTOR, factor));
-    nextRoundMicros = nowMicros + (long) (ROUND_INTERVAL_MICROS * backOff);
+    double machinesFactor =
+        workers.all().size() / (MACHINES_AT_MIN_INTERVAL * membership.shardCount());
+    double backoffFactor = Math.max(1, Math.min(MAX_BACKOFF_FACTOR, machinesFactor));
+    nextRoundMicros = nowMicros + (long) (MIN_ROUND_INTERVAL_MICROS * backoffFactor);
     idleUntilMicros = nowMicros + MAX_IDLE_MICROS;
     for (int shard = 0; shard < membership.shardCount(); shard++) {
       if (membership.permits(ControlAction.SCHEDULE, shard)) {
@@ -205,7 +224,7 @@
     return machines;
   }
 
-  /** Whether new tasks may start on a worker. */
+  /** Returns whether new tasks may start on a worker. */
   public boolean isSchedulable(Worker worker) {
     return worker.heartbeat() != null
         && worker.registered()
@@ -220,49 +239,60 @@
   }
 
   private boolean hasRecentHeartbeat(Worker worker) {
-    long intervals = HEARTBEAT_INTERVALS * settings.workers().heartbeatMicros();
-    return nowMicros - worker.heartbeatMicros() < intervals + HEARTBEAT_MARGIN_MICROS;
+    long intervalsMicros = MAX_HEARTBEAT_AGE_INTERVALS * settings.workers().heartbeatMicros();
+    return nowMicros - worker.heartbeatMicros() < intervalsMicros + HEARTBEAT_MARGIN_MICROS;
   }
 
-  /** The pending tasks of all shards, in the order in which they would get machines. */
+  /** Returns the pending tasks of all shards, in the order in which they would get machines. */
   public List<PendingDemand> pendingDemand() {
     return scaleOutDemand.compute(nowMicros, wallMicros);
   }
 
-  /** What is known about the run times of jobs. */
+  /** Returns the estimates of the run times of jobs. */
   public RuntimeEstimates estimates() {
     return lifecycle.estimates();
   }
 
-  /** By when a job has to end for its pipeline to be in time, by the time of day. */
+  /**
+   * Returns the time of day by which a job has to end for its own deadline and those of the jobs
+   * that depend on it.
+   */
   public long latestEndMicros(Job job) {
     return deadlineOrder.latestEndMicros(job);
   }
 
-  /** When an attempt is likely to end; {@link Long#MAX_VALUE} / 4 or more if that isn't known. */
+  /**
+   * Returns the monotonic time at which an attempt is expected to end; {@link Long#MAX_VALUE} / 4
+   * or more if it is unknown.
+   */
   public long expectedEndMicros(Attempt attempt) {
     Job job = jobs.active(attempt.slice().job());
     if (job == null || attempt.killRequested()) {
-      return nowMicros + TERMINATION_MICROS;
+      return nowMicros + TERMINATION_DELAY_MICROS;
     }
-    long run = estimates().runMicros(job.spec());
-    if (run >= UNKNOWN_RUN_MICROS) {
-      return run;
+    long estimatedRunMicros = estimates().runMicros(job.spec());
+    if (estimatedRunMicros >= UNKNOWN_RUN_MICROS) {
+      return estimatedRunMicros;
     }
-    long start =
+    long startMicros =
         attempt.runningSinceMicros() != 0
             ? attempt.runningSinceMicros()
-            : attempt.decidedMicros() + START_MICROS;
-    return Math.max(nowMicros + run / OVERRUN_DIVISOR, start + run);
+            : attempt.decidedMicros() + START_DELAY_MICROS;
+    return Math.max(
+        nowMicros + estimatedRunMicros / MIN_REMAINING_RUN_DIVISOR,
+        startMicros + estimatedRunMicros);
   }
 
-  /** The priority that protects a running task, which may be inherited; idle if its job is over. */
+  /**
+   * Returns the priority that protects a running task from preemption, which may be inherited; idle
+   * if its job is over.
+   */
   public JobSpec.Priority priority(Attempt attempt) {
     Job job = jobs.active(attempt.slice().job());
     return job == null ? JobSpec.Priority.IDLE : deadlineOrder.priority(job);
   }
 
-  /** How many replicas of active services are running on a machine or about to start there. */
+  /** Returns the number of replicas of active services that run or are starting on a machine. */
   public int replicas(Worker worker) {
     int count = 0;
     for (Attempt attempt : worker.attempts().values()) {
@@ -272,7 +302,7 @@
     return count;
   }
 
-  /** The active services by the time of their submission. */
+  /** Returns the active services, sorted by the time of their submission. */
   public List<Job> services() {
     return jobs.active().stream()
         .filter(job -> job.spec().shape() == JobSpec.Shape.SERVICE)
--- a/src/main/java/gladeknot/scheduling/SchedulingCycle.java
+++ b/src/main/java/gladeknot/scheduling/SchedulingCycle.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 
 /**
- * The state of one scheduling cycle, which is one pass over the machines of one shard and all
- * slices with pending tasks.
+ * State of one scheduling cycle, which is one pass over the machines of one shard and all slices
+ * with pending tasks.
  *
- * <p>Free resources only shrink during a cycle. So requirements that no machine satisfies are
- * remembered, and one search serves all slices that have the same ones.
+ * <p>Free resources only shrink during a cycle. Requirements that no machine satisfies are
+ * therefore recorded, so that one search serves all slices with equal requirements.
  */
 final class SchedulingCycle {
   private final int shard;
@@ -39,17 +39,17 @@
     return shard;
   }
 
-  /** The monotonic time of the cycle. */
+  /** Returns the monotonic time of the cycle, in microseconds. */
   long nowMicros() {
     return nowMicros;
   }
 
-  /** The time of day of the cycle. */
+  /** Returns the time of day of the cycle, in microseconds. */
   long wallMicros() {
     return wallMicros;
   }
 
-  /** The shard's schedulable machines. */
+  /** Returns the schedulable machines of the shard. */
   List<CandidateMachine> machines() {
     return machines;
   }
@@ -58,38 +58,50 @@
     return quota;
   }
 
-  /** Whether no machine has free resources for such tasks; false for null. */
+  /**
+   * Returns whether no machine has free resources for tasks with the requirements; false for null.
+   */
   boolean isInfeasible(TaskRequirements requirements) {
     return infeasible.contains(requirements);
   }
 
-  /** Notes that no machine has free resources for such tasks; null is ignored. */
+  /** Records that no machine has free resources for tasks with the requirements; ignores null. */
   void markInfeasible(TaskRequirements requirements) {
     if (requirements != null) {
       infeasible.add(requirements);
     }
   }
 
-  /** Whether no machine will do for such tasks even once the terminating ones have exited. */
+  /**
+   * Returns whether no machine will have resources for tasks with the requirements even once the
+   * terminating tasks have exited; false for null.
+   */
   boolean isInfeasibleAfterTermination(TaskRequirements requirements) {
     return infeasibleAfterTermination.contains(requirements);
   }
 
-  /** Notes that no machine will do even once the terminating tasks have exited. */
+  /**
+   * Records that no machine will have resources for tasks with the requirements even once the
+   * terminating tasks have exited; ignores null.
+   */
   void markInfeasibleAfterTermination(TaskRequirements requirements) {
     if (requirements != null) {
       infeasibleAfterTermination.add(requirements);
     }
   }
 
-  /** A task is preempted: more resources become free than was known. */
+  /**
+   * Discards the records on terminating tasks, because a preempted task will free further
+   * resources.
+   */
   void onPreemption() {
     infeasibleAfterTermination.clear();
   }
 
   /**
-   * Requests quota for the tasks that exceed it, as far as the machines have free resources for
-   * them or may get some by preemption.
+   * Requests quota for pending tasks that exceed it. Only tasks for which the machines have free
+   * resources, or may get some by preemption, count. For a gang that has any such task, all its
+   * tasks count.
    */
   void requestQuota(JobSpec spec, int pendingTasks, int allowedTasks) {
     long capacity = capacityFor(spec, pendingTasks);
@@ -100,17 +112,20 @@
     }
   }
 
-  /** How many tasks the machines have resources for; counts no further than needed. */
-  private long capacityFor(JobSpec spec, int needed) {
-    // At any priority but normal each machine counts for a task at least: it may get free.
-    int least = spec.priority() == JobSpec.Priority.NORMAL ? 0 : 1;
+  /**
+   * Returns the number of tasks that the machines have resources for. Stops at the wanted number.
+   */
+  private long capacityFor(JobSpec spec, int wanted) {
+    // For priorities other than normal, each machine counts for at least one task: it may become
+    // free.
+    int minTasksPerMachine = spec.priority() == JobSpec.Priority.NORMAL ? 0 : 1;
     long capacity = 0;
     for (CandidateMachine machine : machines) {
-      if (capacity >= needed) {
+      if (capacity >= wanted) {
         break;
       }
       if (NodeFilter.satisfiesConstraints(spec, machine)) {
-        capacity += Math.max(machine.capacityFor(spec), least);
+        capacity += Math.max(machine.capacityFor(spec), minTasksPerMachine);
       }
     }
     return capacity;
--- a/src/main/java/gladeknot/scheduling/SchedulingQueue.java
+++ b/src/main/java/gladeknot/scheduling/SchedulingQueue.java
@@ -12,9 +12,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The slices with pending tasks, in the order in which they are scheduled. */
+/** Queue of the slices with pending tasks, in the order in which they are scheduled. */
 final class SchedulingQueue {
-  /** Beyond its objective, a guaranteed job keeps precedence for so long. */
+  /**
+   * Time for which a guaranteed job keeps its precedence after the time of the guarantee objective,
+   * in microseconds.
+   */
   private static final long GUARANTEE_MARGIN_MICROS = 1_000_000;
 
   private static final long NO_LIMIT_MICROS = Long.MAX_VALUE / 4;
@@ -26,7 +29,7 @@
   private final TeamGuarantees guarantees;
   private final DeadlineOrder deadlineOrder;
 
-  /** Within what time a guaranteed job is meant to get its resources. */
+  /** Time within which a guaranteed job should get its resources, in microseconds. */
   private final long guaranteeMicros;
 
   SchedulingQueue(
@@ -47,23 +50,24 @@
   }
 
   private static long guaranteeMicros(Settings settings) {
-    long within = NO_LIMIT_MICROS;
+    long withinMicros = NO_LIMIT_MICROS;
     for (Settings.Objective objective : settings.objectives()) {
       if (objective.kind() == ObjectiveKind.GUARANTEE) {
-        within = objective.withinMicros();
+        withinMicros = objective.withinMicros();
       }
     }
-    return within;
+    return withinMicros;
   }
 
   /**
-   * What one shard's cycle considers: its own pending slices, and those of other shards once their
-   * tasks have been pending for a while. Also notes on all slices since when they are pending.
+   * Returns the pending slices for the cycle of one shard: those of the shard, and those of other
+   * shards whose tasks have been pending for {@link Policy.Name#CLAIM_AFTER}. Also records on every
+   * slice since when it has been pending.
    */
   List<PendingSlice> forCycle(int shard, long nowMicros, long wallMicros) {
     List<PendingSlice> queue = new ArrayList<>();
-    for (int from = 0; from < membership.shardCount(); from++) {
-      addPending(from, from != shard, nowMicros, wallMicros, queue);
+    for (int sliceShard = 0; sliceShard < membership.shardCount(); sliceShard++) {
+      addPending(sliceShard, sliceShard != shard, nowMicros, wallMicros, queue);
     }
     queue.sort(PendingSlice::compareForCycle);
     return queue;
@@ -71,8 +75,8 @@
 
   private void addPending(
       int shard, boolean remote, long nowMicros, long wallMicros, List<PendingSlice> queue) {
-    long starveMicros = policy.micros(Policy.Name.STARVE_AFTER);
-    long claimMicros = policy.micros(Policy.Name.CLAIM_AFTER);
+    long starveAfterMicros = policy.micros(Policy.Name.STARVE_AFTER);
+    long claimAfterMicros = policy.micros(Policy.Name.CLAIM_AFTER);
     for (Slice slice : slices.inShard(shard)) {
       Job job = jobs.active(slice.job());
       if (job == null || slice.pendingCount() == 0) {
@@ -80,22 +84,22 @@
         continue;
       }
       slice.markPending(nowMicros);
-      if (!remote || nowMicros - slice.pendingSinceMicros() >= claimMicros) {
-        queue.add(pending(slice, job, remote, starveMicros, wallMicros));
+      if (!remote || nowMicros - slice.pendingSinceMicros() >= claimAfterMicros) {
+        queue.add(pending(slice, job, remote, starveAfterMicros, wallMicros));
       }
     }
   }
 
-  /** All pending slices that aren't backing off, in the order in which scale-out serves them. */
+  /** Returns all pending slices that are not in backoff, in the order of scale-out. */
   List<PendingSlice> forDemand(long nowMicros, long wallMicros) {
-    long starveMicros = policy.micros(Policy.Name.STARVE_AFTER);
+    long starveAfterMicros = policy.micros(Policy.Name.STARVE_AFTER);
     List<PendingSlice> queue = new ArrayList<>();
     for (int shard = 0; shard < membership.shardCount(); shard++) {
       boolean remote = !membership.permits(ControlAction.SCHEDULE, shard);
       for (Slice slice : slices.inShard(shard)) {
         Job job = jobs.active(slice.job());
         if (job != null && slice.pendingCount() > 0 && nowMicros >= slice.backoffUntilMicros()) {
-          queue.add(pending(slice, job, remote, starveMicros, wallMicros));
+          queue.add(pending(slice, job, remote, starveAfterMicros, wallMicros));
         }
       }
     }
@@ -104,15 +108,15 @@
   }
 
   private PendingSlice pending(
-      Slice slice, Job job, boolean remote, long starveMicros, long wallMicros) {
-    long age = wallMicros - job.readyMicros();
-    // Work that newer work takes precedence over would never start under a steady load. For an
-    // array one task is enough: starting all of it would make the rest late as well.
-    boolean starving = age > starveMicros && (job.spec().unsplit() || !hasStarted(job));
-    // A guarantee is for new work: what is older has missed it, and would now only keep others from
-    // their deadlines.
+      Slice slice, Job job, boolean remote, long starveAfterMicros, long wallMicros) {
+    long ageMicros = wallMicros - job.readyMicros();
+    // Under steady load, a job that newer jobs take precedence over would never start. One started
+    // task of an array is enough: starting all its tasks would make the other jobs late as well.
+    boolean starving = ageMicros > starveAfterMicros && (job.spec().unsplit() || !hasStarted(job));
+    // A guarantee applies to new jobs. An older job has already missed it, and its precedence would
+    // only make other jobs miss their deadlines.
     boolean guaranteed =
-        guarantees.isGuaranteed(job.id()) && age < guaranteeMicros + GUARANTEE_MARGIN_MICROS;
+        guarantees.isGuaranteed(job.id()) && ageMicros < guaranteeMicros + GUARANTEE_MARGIN_MICROS;
     return new PendingSlice(
         slice,
         job,
--- a/src/main/java/gladeknot/scheduling/TaskClaimer.java
+++ b/src/main/java/gladeknot/scheduling/TaskClaimer.java
@@ -9,8 +9,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Claims pending tasks of other shards that can start at once in the scheduled shard. The claim and
- * the attempts are committed in one transaction, which fails if the other shard has started them.
+ * Claims pending tasks of other shards that can start immediately in the scheduled shard. The claim
+ * and the attempts are committed in one transaction. The transaction fails if the other shard has
+ * started the tasks.
  */
 final class TaskClaimer {
   private static final Logger LOG = LoggerFactory.getLogger(TaskClaimer.class);
@@ -35,9 +36,9 @@
   }
 
   /**
-   * Claims what it can of another shard's slice.
+   * Claims the tasks of another shard's slice that can start now.
    *
-   * @return how many of its tasks found no machine
+   * @return the number of the slice's tasks that found no machine
    */
   int claim(PendingSlice pending, SchedulingCycle cycle) {
     Slice remote = pending.slice();
@@ -51,8 +52,10 @@
       return Math.min(pendingTasks, cycle.quota().allowedTasks(spec));
     }
     if (committer.isInFlight(remote)) {
-      // Its stored record is being written. Resources stay reserved until then: if others got
-      // them, those would be preempted for it again.
+      // The record of the slice is being written. Its tasks count as unplaced meanwhile, so that
+      // resources stay reserved for them. Otherwise other tasks could get these resources, and
+      // would
+      // be preempted again for the tasks of the slice.
       return pendingTasks;
     }
     Slice own = slices.get(cycle.shard(), spec.id());
@@ -67,7 +70,7 @@
     return pendingTasks - claimTasks(pending, own, count, cycle);
   }
 
-  /** How many tasks may be claimed now; 0 if none. */
+  /** Returns the number of tasks that may be claimed now; never negative. */
   private int claimableTasks(PendingSlice pending, Slice own, SchedulingCycle cycle) {
     Slice remote = pending.slice();
     JobSpec spec = pending.spec();
@@ -92,7 +95,11 @@
     return blocked || incompleteGang ? 0 : Math.max(0, count);
   }
 
-  /** Claims up to so many tasks, namely those that start; returns how many. */
+  /**
+   * Claims those of the first {@code count} pending tasks that can start.
+   *
+   * @return the number of claimed tasks
+   */
   private int claimTasks(PendingSlice pending, Slice own, int count, SchedulingCycle cycle) {
     Slice remote = pending.slice();
     BitSet tasks = firstPending(remote, count);
--- a/src/main/java/gladeknot/scheduling/TaskPlacer.java
+++ b/src/main/java/gladeknot/scheduling/TaskPlacer.java
@@ -32,9 +32,9 @@
   }
 
   /**
-   * Starts what it can of a slice of the scheduled shard.
+   * Starts the tasks of a slice of the scheduled shard that can start now.
    *
-   * @return how many tasks are within quota but found no machine
+   * @return the number of tasks that are within quota but found no machine
    */
   int place(PendingSlice pending, SchedulingCycle cycle) {
     Slice slice = pending.slice();
@@ -63,20 +63,20 @@
     }
     int placed = startTasks(pending, count, cycle);
     cycle.quota().charge(spec, placed);
-    if (recordFull && placed == count && best(spec, cycle) != null) {
+    if (recordFull && placed == count && selectMachine(spec, cycle) != null) {
       membership.format().reportSegmentFull();
     }
     return count - placed;
   }
 
-  /** Starts up to so many tasks; returns how many found a machine. */
+  /** Starts up to {@code count} tasks. Returns the number of tasks that found a machine. */
   private int startTasks(PendingSlice pending, int count, SchedulingCycle cycle) {
     Slice slice = pending.slice();
     TaskRequirements requirements = pending.requirements();
     int placed = 0;
     int task = slice.nextPending(0);
     while (placed < count && task >= 0 && !cycle.isInfeasible(requirements)) {
-      CandidateMachine machine = best(pending.spec(), cycle);
+      CandidateMachine machine = selectMachine(pending.spec(), cycle);
       if (machine == null) {
         cycle.markInfeasible(requirements);
         break;
@@ -88,7 +88,7 @@
     return placed;
   }
 
-  private CandidateMachine best(JobSpec spec, SchedulingCycle cycle) {
-    return selector.best(spec, cycle, null, ZoneCounts.of(spec, slices));
+  private CandidateMachine selectMachine(JobSpec spec, SchedulingCycle cycle) {
+    return selector.select(spec, cycle, null, ZoneCounts.of(spec, slices));
   }
 }
--- a/src/main/java/gladeknot/scheduling/TaskStarter.java
+++ b/src/main/java/gladeknot/scheduling/TaskStarter.java
@@ -6,7 +6,7 @@
 import gladeknot.tasks.Slice;
 import gladeknot.tasks.SliceRegistry;
 
-/** Binds tasks to machines: adds the attempts to their slices and has the slices committed. */
+/** Binds tasks to machines: adds attempts to the slices and marks the slices for commit. */
 final class TaskStarter {
   private final JobRegistry jobs;
   private final SliceRegistry slices;
@@ -24,7 +24,7 @@
     this.guarantees = guarantees;
   }
 
-  /** Adds an attempt of a task on a machine. Its command is sent once it is committed. */
+  /** Adds an attempt of a task on a machine. The start command is sent after the commit. */
   void start(Slice slice, int task, long attemptNumber, CandidateMachine machine, long nowMicros) {
     machine.allocate(slice.cpus(), slice.gpus(), slice.memory());
     guarantees.onStart(jobs.active(slice.job()).spec());
@@ -32,7 +32,7 @@
     committer.markDirty(slice);
   }
 
-  /** How many more attempts fit into the stored record that a slice is a part of. */
+  /** Returns the number of further attempts that fit into the stored record of a slice. */
   int recordCapacity(Slice slice) {
     int uncommitted = 0;
     for (Attempt attempt : slice.attemptsByTask().values()) {
--- a/src/main/java/gladeknot/scheduling/TeamGuarantees.java
+++ b/src/main/java/gladeknot/scheduling/TeamGuarantees.java
@@ -14,16 +14,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which jobs are within their team's guarantee, and which tasks a team runs beyond its own. */
+/** Determines which jobs are within their team's guarantee, and which tasks run beyond it. */
 final class TeamGuarantees {
-  /** Tasks that end bring further jobs within a guarantee: so often that is computed anew. */
-  private static final long REFRESH_MICROS = 250_000;
+  /**
+   * Interval at which the guaranteed jobs are recomputed even if no job changes, in microseconds.
+   * Tasks that end bring further jobs within a guarantee.
+   */
+  private static final long REFRESH_INTERVAL_MICROS = 250_000;
 
   private final Settings settings;
   private final JobRegistry jobs;
   private final SliceRegistry slices;
 
-  /** By team, what its tasks use over all shards: with what the current cycle has decided. */
+  /** By team, the usage of its tasks in all shards, including decisions of the current cycle. */
   private final Map<String, ResourceUsage> usage = new HashMap<>();
 
   private final Set<String> guaranteedJobs = new HashSet<>();
@@ -36,11 +39,11 @@
     this.slices = slices;
   }
 
-  /** Sums up what each team uses and, if it is due, which jobs are within a guarantee. */
+  /** Recomputes the usage of each team and, if due, which jobs are within a guarantee. */
   void refresh(int shardCount, long nowMicros) {
     if (jobs.changeCount() != seenChangeCount || nowMicros >= nextRefreshMicros) {
       seenChangeCount = jobs.changeCount();
-      nextRefreshMicros = nowMicros + REFRESH_MICROS;
+      nextRefreshMicros = nowMicros + REFRESH_INTERVAL_MICROS;
       findGuaranteedJobs();
     }
     usage.clear();
@@ -55,27 +58,27 @@
   }
 
   /**
-   * Whether a job fits into its team's guarantee together with the team's earlier unfinished jobs.
-   * Such a job takes precedence over others of its priority, and only jobs that are not guaranteed
-   * may be preempted for it: so two jobs never preempt each other in turns.
+   * Returns whether a job fits into its team's guarantee together with the team's earlier
+   * unfinished jobs. A guaranteed job takes precedence over other jobs of its priority. Only jobs
+   * that are not guaranteed may be preempted for it, so two jobs never preempt each other in turn.
    */
   boolean isGuaranteed(String job) {
     return guaranteedJobs.contains(job);
   }
 
-  /** Whether the team of a slice keeps its guarantee without one of the slice's tasks. */
+  /** Returns whether the team of a slice keeps its guarantee without one task of the slice. */
   boolean isBeyondGuarantee(Slice slice) {
     Settings.Team team = settings.teams().get(slice.team());
     return team != null
         && usage(slice.team()).exceedsGuaranteeWithout(slice.cpus(), slice.gpus(), team);
   }
 
-  /** Notes that a task is to be started. */
+  /** Adds a task that will be started to the usage of its team. */
   void onStart(JobSpec spec) {
     usage(spec.team()).add(spec.cpus(), spec.gpus(), 1);
   }
 
-  /** Notes that a task of a slice is to be preempted. */
+  /** Subtracts a task of a slice that will be preempted from the usage of its team. */
   void onPreemption(Slice slice) {
     usage(slice.team()).add(slice.cpus(), slice.gpus(), -1);
   }
@@ -86,15 +89,16 @@
 
   private void findGuaranteedJobs() {
     guaranteedJobs.clear();
-    Map<String, ResourceUsage> demand = new HashMap<>();
+    Map<String, ResourceUsage> demandByTeam = new HashMap<>();
     List<Job> byAge = new ArrayList<>(jobs.active());
     byAge.sort(Comparator.comparingLong(Job::submittedMicros).thenComparing(Job::id));
     for (Job job : byAge) {
       JobSpec spec = job.spec();
       Settings.Team team = settings.teams().get(spec.team());
-      ResourceUsage sum = demand.computeIfAbsent(spec.team(), name -> new ResourceUsage());
-      sum.add(spec.cpus(), spec.gpus(), unfinishedTasks(job));
-      if (team != null && sum.isWithinGuarantee(team, spec.gpus() > 0)) {
+      ResourceUsage teamDemand =
+          demandByTeam.computeIfAbsent(spec.team(), name -> new ResourceUsage());
+      teamDemand.add(spec.cpus(), spec.gpus(), unfinishedTasks(job));
+      if (team != null && teamDemand.isWithinGuarantee(team, spec.gpus() > 0)) {
         guaranteedJobs.add(job.id());
       }
     }
--- a/src/test/java/gladeknot/app/HomeShardSelectorTest.java
+++ b/src/test/java/gladeknot/app/HomeShardSelectorTest.java
@@ -11,10 +11,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Services are taken in by the shard whose machines have their image, other jobs where they come.
+ * Tests that a service gets the shard whose machines have its image as its home shard if a fetch of
+ * the image takes too long. All other jobs get the home shard of the controller that accepts them.
  */
 class HomeShardSelectorTest {
-  private static final String HOME = "h";
+  private static final String HOME_FIELD = "h";
 
   @ParameterizedTest
   @CsvSource({
@@ -24,7 +25,8 @@
     "service, batch, img-there, 8.0, 1",
     "array, scan, img-there, 8.0, 1",
   })
-  void newJobsGoHome(String shape, String jobClass, String image, double sizeGb, int shard) {
+  void homeShardDependsOnShapeClassAndImage(
+      String shape, String jobClass, String image, double sizeGb, int shard) {
     SimulatedCluster cluster = new SimulatedCluster(3, 41);
     cluster.run(3 * SECOND);
     cluster.submit(0, job("req-web-first", "service", jobClass, "img-there", sizeGb));
@@ -48,6 +50,6 @@
   }
 
   private static String home(SimulatedCluster cluster, String id) {
-    return String.valueOf(cluster.state().get("g/job/" + id).get(HOME));
+    return String.valueOf(cluster.state().get("g/job/" + id).get(HOME_FIELD));
   }
 }
--- a/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineCapacityTest.java
@@ -16,34 +16,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Task slots for jobs with deadlines are counted by the resources that such jobs require. */
+/**
+ * Tests that task slots for jobs with deadlines are counted by the resources that a job requires.
+ */
 class DeadlineCapacityTest {
-  private static final long NOW = 5_000_000;
-  private static final long READY = 40_000_000;
+  private static final long NOW_MICROS = 5_000_000;
+  private static final long READY_MICROS = 40_000_000;
 
-  /** Two machines of 16 CPUs and 2 GPUs, three of 4 CPUs. */
+  /** The fleet has two machines of 16 CPUs and 2 GPUs, and three of 4 CPUs. */
   @ParameterizedTest
   @CsvSource({"6.0, 1.0, 4", "6.0, 2.0, 2", "2.0, 0.0, 6", "4.0, 0.0, 3"})
   void slotsAreCountedByRequiredResources(double cpus, double gpus, int slots)
       throws MalformedJobException {
     WorkerRegistry workers = new WorkerRegistry();
-    enter(workers, 1, "accelerated");
-    enter(workers, 2, "accelerated");
-    enter(workers, 3, "plain");
-    enter(workers, 4, "plain");
-    enter(workers, 5, "plain");
+    register(workers, 1, "accelerated");
+    register(workers, 2, "accelerated");
+    register(workers, 3, "plain");
+    register(workers, 4, "plain");
+    register(workers, 5, "plain");
     DeadlineCapacity capacity =
         new DeadlineCapacity(
             new JobRegistry((before, now) -> {}), workers, DeadlineCapacityTest::type);
     Map<String, Object> job = TestJobs.job("req-1", "array", 8);
     job.put("cores", cpus);
     job.put("accelerators", gpus);
-    assertEquals(slots, capacity.taskSlots(JobSpecCodec.decode(job), NOW, NOW));
+    assertEquals(slots, capacity.taskSlots(JobSpecCodec.decode(job), NOW_MICROS, NOW_MICROS));
   }
 
-  private static void enter(WorkerRegistry workers, int number, String type) {
+  private static void register(WorkerRegistry workers, int number, String type) {
     String host = "vm-00000" + number;
-    String record = WorkerRecordCodec.encode(new WorkerRecord(0, type, "a", false, NOW, false));
+    String record =
+        WorkerRecordCodec.encode(new WorkerRecord(0, type, "a", false, NOW_MICROS, false));
     Map<String, Object> data = Map.of(WorkerRecordCodec.field(host), record);
     workers.onChange(WorkerRecordCodec.key(host), null, new Entry(data, number));
   }
@@ -59,7 +62,7 @@
         0.4,
         5,
         2,
-        READY,
+        READY_MICROS,
         List.of("a"));
   }
 }
--- a/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
@@ -26,69 +26,77 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** The order of jobs with deadlines: tasks of six seconds, one at a time. */
+/** Tests the order of jobs with deadlines. Each task runs for 6 s, and one task runs at a time. */
 class DeadlineOrderTest {
-  private static final long SECOND = 1_000_000;
-  private static final long NOW = 1_000 * SECOND;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long NOW_MICROS = 1_000 * SECOND_MICROS;
 
-  /** A job: its tasks, when it came and how long it has from then, in seconds. */
-  private record Wanted(String id, int tasks, long agoS, double dueS) {}
+  /**
+   * A submitted job.
+   *
+   * @param id the id of the job
+   * @param tasks the number of its tasks
+   * @param ageSeconds the time since its submission, in seconds
+   * @param deadlineSeconds the time from its submission to its deadline, in seconds
+   */
+  private record SubmittedJob(String id, int tasks, long ageSeconds, double deadlineSeconds) {}
 
-  private record Case(String name, List<Wanted> jobs, List<String> order) {}
+  private record Case(String name, List<SubmittedJob> jobs, List<String> order) {}
 
   private static final List<Case> CASES =
       List.of(
           new Case(
               "the earliest deadline comes first while all can be met",
-              List.of(new Wanted("req-b", 1, 0, 60), new Wanted("req-a", 1, 0, 30)),
+              List.of(new SubmittedJob("req-b", 1, 0, 60), new SubmittedJob("req-a", 1, 0, 30)),
               List.of("req-a", "req-b")),
           new Case(
-              "the largest is deferred when not all deadlines can be met",
+              "the largest job is deferred when not all deadlines can be met",
               List.of(
-                  new Wanted("req-big", 20, 0, 40),
-                  new Wanted("req-c", 4, 0, 50),
-                  new Wanted("req-d", 4, 0, 75)),
+                  new SubmittedJob("req-big", 20, 0, 40),
+                  new SubmittedJob("req-c", 4, 0, 50),
+                  new SubmittedJob("req-d", 4, 0, 75)),
               List.of("req-c", "req-d", "req-big")),
           new Case(
               "missed deadlines come last, the oldest first",
               List.of(
-                  new Wanted("req-new", 2, 0, 60),
-                  new Wanted("req-late", 2, 100, 20),
-                  new Wanted("req-later", 2, 200, 20)),
+                  new SubmittedJob("req-new", 2, 0, 60),
+                  new SubmittedJob("req-late", 2, 100, 20),
+                  new SubmittedJob("req-later", 2, 200, 20)),
               List.of("req-new", "req-later", "req-late")),
           new Case(
-              "too late for its deadline, it is served by one and a half times that",
+              "a job that is too late for its deadline is ordered by 1.5 times the deadline",
               List.of(
-                  new Wanted("req-hopeless", 1, 300, 40),
-                  new Wanted("req-second", 1, 36, 40),
-                  new Wanted("req-first", 1, 0, 60)),
+                  new SubmittedJob("req-hopeless", 1, 300, 40),
+                  new SubmittedJob("req-second", 1, 36, 40),
+                  new SubmittedJob("req-first", 1, 0, 60)),
               List.of("req-first", "req-second", "req-hopeless")));
 
-  /** The same where the class is to begin within 180 s and to end within 300 s as well. */
-  private static final List<Case> WITH_OTHER_AIMS =
+  /** Cases where the class also has a wait objective of 180 s and a finish objective of 300 s. */
+  private static final List<Case> WITH_OTHER_OBJECTIVES =
       List.of(
           new Case(
               "a deferred job comes first when its wait objective is at risk",
               List.of(
-                  new Wanted("req-new", 1, 0, 60),
-                  new Wanted("req-waits", 2, 90, 40),
-                  new Wanted("req-largest", 3, 120, 40)),
+                  new SubmittedJob("req-new", 1, 0, 60),
+                  new SubmittedJob("req-waits", 2, 90, 40),
+                  new SubmittedJob("req-largest", 3, 120, 40)),
               List.of("req-new", "req-largest", "req-waits")),
           new Case(
-              "after its wait objective it comes first when its finish objective is at risk",
+              "after its wait objective, a deferred job comes first when its finish objective is at risk",
               List.of(
-                  new Wanted("req-new", 1, 0, 60),
-                  new Wanted("req-last", 5, 270, 40),
-                  new Wanted("req-over", 30, 310, 40)),
+                  new SubmittedJob("req-new", 1, 0, 60),
+                  new SubmittedJob("req-last", 5, 270, 40),
+                  new SubmittedJob("req-over", 30, 310, 40)),
               List.of("req-last", "req-new", "req-over")));
 
   @TestFactory
   Stream<DynamicTest> jobsAreOrderedByUrgency() {
-    Settings usual = ClusterSettings.of(0, 1, ClusterScale.SMALL);
-    Settings more = with(usual, ObjectiveKind.WAIT, 180, ObjectiveKind.FINISHED, 300);
+    Settings deadlinesOnly = ClusterSettings.of(0, 1, ClusterScale.SMALL);
+    Settings withOtherObjectives =
+        addObjectives(deadlinesOnly, ObjectiveKind.WAIT, 180, ObjectiveKind.FINISHED, 300);
     return Stream.concat(
-        CASES.stream().map(testCase -> test(testCase, usual)),
-        WITH_OTHER_AIMS.stream().map(testCase -> test(testCase, more)));
+        CASES.stream().map(testCase -> test(testCase, deadlinesOnly)),
+        WITH_OTHER_OBJECTIVES.stream().map(testCase -> test(testCase, withOtherObjectives)));
   }
 
   private static DynamicTest test(Case testCase, Settings settings) {
@@ -96,11 +104,17 @@
         testCase.name(), () -> assertEquals(testCase.order(), order(testCase, settings)));
   }
 
-  private static Settings with(
-      Settings settings, ObjectiveKind first, long firstS, ObjectiveKind then, long thenS) {
+  private static Settings addObjectives(
+      Settings settings,
+      ObjectiveKind firstKind,
+      long firstWithinSeconds,
+      ObjectiveKind secondKind,
+      long secondWithinSeconds) {
     List<Settings.Objective> objectives = new ArrayList<>(settings.objectives());
-    objectives.add(new Settings.Objective(first, "batch", firstS * SECOND, 0.99, 0));
-    objectives.add(new Settings.Objective(then, "batch", thenS * SECOND, 0.99, 0));
+    objectives.add(
+        new Settings.Objective(firstKind, "batch", firstWithinSeconds * SECOND_MICROS, 0.99, 0));
+    objectives.add(
+        new Settings.Objective(secondKind, "batch", secondWithinSeconds * SECOND_MICROS, 0.99, 0));
     return new Settings(
         settings.node(),
         settings.zone(),
@@ -125,16 +139,17 @@
     StateStore stateStore =
         new StateStore(settings, new Outbox(), new SplittableRandom(1), changes -> {});
     SliceRegistry slices = new SliceRegistry(1, () -> 1, stateStore, new WorkerRegistry());
-    for (Wanted wanted : testCase.jobs()) {
-      Map<String, Object> spec = TestJobs.job(wanted.id(), "array", wanted.tasks());
-      spec.put("dueS", wanted.dueS());
-      long at = NOW - wanted.agoS() * SECOND;
-      jobs.onChange(Job.key(wanted.id()), new Entry(Json.of("s", spec, "h", 0, "t", at), 1));
-      slices.jobChanged(wanted.id(), jobs.active(wanted.id()));
+    for (SubmittedJob submitted : testCase.jobs()) {
+      Map<String, Object> spec = TestJobs.job(submitted.id(), "array", submitted.tasks());
+      spec.put("dueS", submitted.deadlineSeconds());
+      long submittedMicros = NOW_MICROS - submitted.ageSeconds() * SECOND_MICROS;
+      jobs.onChange(
+          Job.key(submitted.id()), new Entry(Json.of("s", spec, "h", 0, "t", submittedMicros), 1));
+      slices.jobChanged(submitted.id(), jobs.active(submitted.id()));
     }
     DeadlineOrder deadlineOrder =
         new DeadlineOrder(settings, Policy.of(""), jobs, slices, new RuntimeEstimates());
-    deadlineOrder.refresh(NOW, NOW, spec -> 1);
+    deadlineOrder.refresh(NOW_MICROS, NOW_MICROS, spec -> 1);
     return jobs.active().stream()
         .sorted(Comparator.comparingLong(deadlineOrder::key))
         .map(Job::id)
--- a/src/test/java/gladeknot/scheduling/PendingSliceTest.java
+++ b/src/test/java/gladeknot/scheduling/PendingSliceTest.java
@@ -11,19 +11,19 @@
 import gladeknot.state.Entry;
 import org.junit.jupiter.api.Test;
 
-/** The order of the scheduling queue. */
+/** Tests the order of the scheduling queue. */
 class PendingSliceTest {
-  private static final long SECOND = 1_000_000;
-  private static final long NOW = 1_000 * SECOND;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long NOW_MICROS = 1_000 * SECOND_MICROS;
   private static final boolean OWN = false;
   private static final boolean REMOTE = true;
 
-  /** A key of jobs that are late for all their deadlines. */
-  private static final long LATE = DeadlineOrder.LATE_KEY + NOW;
+  /** Deadline key of jobs that are late for all their deadlines. */
+  private static final long LATE_DEADLINE_KEY = DeadlineOrder.LATE_KEY + NOW_MICROS;
 
   private final JobRegistry jobs = new JobRegistry((before, now) -> {});
-  private final Job earlier = accept("req-1", NOW);
-  private final Job later = accept("req-2", NOW + SECOND);
+  private final Job earlier = accept("req-1", NOW_MICROS);
+  private final Job later = accept("req-2", NOW_MICROS + SECOND_MICROS);
 
   private Job accept(String id, long submittedMicros) {
     Object spec = TestJobs.job(id, "array", 2);
@@ -37,8 +37,8 @@
       boolean remote,
       boolean starving,
       boolean guaranteed,
-      long key) {
-    return new PendingSlice(null, job, priority, remote, starving, guaranteed, key);
+      long deadlineKey) {
+    return new PendingSlice(null, job, priority, remote, starving, guaranteed, deadlineKey);
   }
 
   private static void assertBefore(PendingSlice first, PendingSlice second) {
@@ -47,16 +47,17 @@
   }
 
   @Test
-  void eachCriterionOutweighsAllThatComeAfterIt() {
+  void eachCriterionOutweighsAllLessSignificantOnes() {
     JobSpec.Priority normal = JobSpec.Priority.NORMAL;
-    PendingSlice least = pending(later, normal, REMOTE, false, false, LATE);
-    PendingSlice own = pending(later, normal, OWN, false, false, LATE + 1);
-    PendingSlice inTime = pending(later, normal, REMOTE, false, false, NOW);
-    PendingSlice guaranteed = pending(later, normal, REMOTE, false, true, LATE);
-    PendingSlice starving = pending(later, normal, REMOTE, true, false, LATE);
-    PendingSlice high = pending(later, JobSpec.Priority.HIGH, REMOTE, false, false, LATE);
+    PendingSlice least = pending(later, normal, REMOTE, false, false, LATE_DEADLINE_KEY);
+    PendingSlice own = pending(later, normal, OWN, false, false, LATE_DEADLINE_KEY + 1);
+    PendingSlice inTime = pending(later, normal, REMOTE, false, false, NOW_MICROS);
+    PendingSlice guaranteed = pending(later, normal, REMOTE, false, true, LATE_DEADLINE_KEY);
+    PendingSlice starving = pending(later, normal, REMOTE, true, false, LATE_DEADLINE_KEY);
+    PendingSlice high =
+        pending(later, JobSpec.Priority.HIGH, REMOTE, false, false, LATE_DEADLINE_KEY);
     assertBefore(own, least);
-    // The scheduled shard's work that is late doesn't come before what can be in time elsewhere.
+    // A late slice of the scheduled shard comes after a slice of another shard that can be in time.
     assertBefore(inTime, own);
     assertBefore(guaranteed, inTime);
     assertBefore(starving, guaranteed);
@@ -64,22 +65,22 @@
   }
 
   @Test
-  void equalCriteriaAreDecidedByDeadlineKeyThenAge() {
+  void slicesWithEqualCriteriaAreOrderedByDeadlineKeyThenAge() {
     JobSpec.Priority normal = JobSpec.Priority.NORMAL;
-    PendingSlice soon = pending(later, normal, OWN, false, false, NOW);
-    PendingSlice late = pending(earlier, normal, OWN, false, false, NOW + 1);
-    PendingSlice older = pending(earlier, normal, OWN, false, false, NOW);
-    assertBefore(soon, late);
-    assertBefore(older, soon);
+    PendingSlice earlierDeadline = pending(later, normal, OWN, false, false, NOW_MICROS);
+    PendingSlice laterDeadline = pending(earlier, normal, OWN, false, false, NOW_MICROS + 1);
+    PendingSlice older = pending(earlier, normal, OWN, false, false, NOW_MICROS);
+    assertBefore(earlierDeadline, laterDeadline);
+    assertBefore(older, earlierDeadline);
     assertEquals(0, PendingSlice.compareForCycle(older, older));
   }
 
   @Test
-  void demandDisregardsWhoseShardASliceIsIn() {
+  void demandOrderIgnoresTheShardOfASlice() {
     JobSpec.Priority normal = JobSpec.Priority.NORMAL;
-    PendingSlice own = pending(later, normal, OWN, false, false, NOW + 1);
-    PendingSlice remote = pending(later, normal, REMOTE, false, false, NOW);
-    PendingSlice guaranteed = pending(later, normal, REMOTE, false, true, LATE);
+    PendingSlice own = pending(later, normal, OWN, false, false, NOW_MICROS + 1);
+    PendingSlice remote = pending(later, normal, REMOTE, false, false, NOW_MICROS);
+    PendingSlice guaranteed = pending(later, normal, REMOTE, false, true, LATE_DEADLINE_KEY);
     assertBefore(own, remote);
     assertTrue(PendingSlice.compareForDemand(remote, own) < 0);
     assertTrue(PendingSlice.compareForDemand(guaranteed, remote) < 0);
--- a/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
+++ b/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
@@ -13,62 +13,71 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What jobs inherit from those that wait for them. */
+/** Tests what jobs inherit from the jobs that depend on them. */
 class PriorityInheritanceTest {
-  private static final long SECOND = 1_000_000;
-  private static final long NOW = 1_000 * SECOND;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long NOW_MICROS = 1_000 * SECOND_MICROS;
 
-  /** Run time of each task, and what lies between the end of a job and the start of the next. */
-  private static final long STEP = 6 * SECOND + 3 * SECOND;
+  /**
+   * Run time of each task, plus the time from the end of a job until the tasks of its dependent
+   * run, in microseconds.
+   */
+  private static final long STEP_MICROS = 6 * SECOND_MICROS + 3 * SECOND_MICROS;
 
   private final JobRegistry jobs = new JobRegistry((before, now) -> {});
   private final PriorityInheritance inheritance =
       new PriorityInheritance(jobs, new RuntimeEstimates());
-  private long stamp;
+  private long revision;
 
-  private void accept(String id, String rank, Double dueS, String... needs) {
-    Map<String, Object> spec = TestJobs.jobAfter(id, 2, needs);
-    spec.put("rank", rank);
-    spec.put("dueS", dueS);
-    Map<String, Object> data = Json.of("s", spec, "h", 0, "t", NOW);
-    jobs.onChange(Job.key(id), new Entry(data, ++stamp));
+  private void accept(String id, String priority, Double deadlineSeconds, String... dependencies) {
+    Map<String, Object> spec = TestJobs.jobAfter(id, 2, dependencies);
+    spec.put("rank", priority);
+    spec.put("dueS", deadlineSeconds);
+    Map<String, Object> data = Json.of("s", spec, "h", 0, "t", NOW_MICROS);
+    jobs.onChange(Job.key(id), new Entry(data, ++revision));
     inheritance.refresh();
   }
 
   @Test
-  void ranksAndDeadlinesComeFromTheEndOfThePipeline() {
+  void prioritiesAndDeadlinesAreInheritedFromDependents() {
     accept("req-a", "idle", null);
     accept("req-b", "normal", null, "req-a");
     accept("req-c", "idle", null, "req-a");
     assertEquals(JobSpec.Priority.NORMAL, inheritance.priority(jobs.active("req-a")));
-    assertEquals(PriorityInheritance.NEVER, inheritance.latestEndMicros(jobs.active("req-a")));
-    // The last of a pipeline is submitted late, and raises those that run already.
+    assertEquals(
+        PriorityInheritance.NO_DEADLINE_MICROS, inheritance.latestEndMicros(jobs.active("req-a")));
+    // A dependent that is submitted later raises the jobs that are already running.
     accept("req-d", "high", 100.0, "req-b", "req-c");
     assertEquals(JobSpec.Priority.HIGH, inheritance.priority(jobs.active("req-a")));
-    assertEquals(NOW + 100 * SECOND - 2 * STEP, inheritance.latestEndMicros(jobs.active("req-a")));
-    assertEquals(NOW + 100 * SECOND - STEP, inheritance.latestEndMicros(jobs.unfinished("req-c")));
+    assertEquals(
+        NOW_MICROS + 100 * SECOND_MICROS - 2 * STEP_MICROS,
+        inheritance.latestEndMicros(jobs.active("req-a")));
+    assertEquals(
+        NOW_MICROS + 100 * SECOND_MICROS - STEP_MICROS,
+        inheritance.latestEndMicros(jobs.unfinished("req-c")));
   }
 
   @Test
-  void nothingIsInheritedFromAWithdrawnJob() {
+  void nothingIsInheritedFromACancelledJob() {
     accept("req-a", "idle", null);
     accept("req-b", "high", 50.0, "req-a");
-    jobs.onChange(Job.key("req-b"), new Entry(Map.of("p", "withdrawn", "n", 2), ++stamp));
+    jobs.onChange(Job.key("req-b"), new Entry(Map.of("p", "withdrawn", "n", 2), ++revision));
     inheritance.refresh();
     assertEquals(JobSpec.Priority.IDLE, inheritance.priority(jobs.active("req-a")));
-    assertEquals(PriorityInheritance.NEVER, inheritance.latestEndMicros(jobs.active("req-a")));
+    assertEquals(
+        PriorityInheritance.NO_DEADLINE_MICROS, inheritance.latestEndMicros(jobs.active("req-a")));
   }
 
   @Test
-  void waitsCountFromTheEndOfTheLastNeededJob() {
+  void readyTimeIsTheEndOfTheLastDependency() {
     accept("req-a", "idle", null);
     accept("req-b", "idle", null, "req-a");
-    long end = NOW + 33 * SECOND;
-    jobs.onChange(Job.key("req-a"), new Entry(JobRecordCodec.encodeDone(2, end), ++stamp));
-    assertEquals(end, jobs.active("req-b").readyMicros());
+    long endMicros = NOW_MICROS + 33 * SECOND_MICROS;
+    jobs.onChange(Job.key("req-a"), new Entry(JobRecordCodec.encodeDone(2, endMicros), ++revision));
+    assertEquals(endMicros, jobs.active("req-b").readyMicros());
     // The first version's records do not contain the time when a job ended.
-    jobs.onChange(Job.key("req-0"), new Entry(Map.of("p", "done", "n", 2), ++stamp));
+    jobs.onChange(Job.key("req-0"), new Entry(Map.of("p", "done", "n", 2), ++revision));
     accept("req-c", "idle", null, "req-0");
-    assertEquals(NOW, jobs.active("req-c").readyMicros());
+    assertEquals(NOW_MICROS, jobs.active("req-c").readyMicros());
   }
 }
