--- a/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
@@ -82,7 +82,7 @@
                   new SubmittedJob("req-largest", 3, 120, 40)),
               List.of("req-new", "req-largest", "req-waits")),
           new Case(
-              "after its wait objective, a deferred job comes first when its finish objective is at risk",
+              "after its wait objective, a job comes first when its finish objective is at risk",
               List.of(
                   new SubmittedJob("req-new", 1, 0, 60),
                   new SubmittedJob("req-last", 5, 270, 40),
