--- a/src/main/java/gladeknot/policy/Expression.java
+++ b/src/main/java/gladeknot/policy/Expression.java
@@ -2,19 +2,19 @@
 
 import java.util.Map;
 
-/** A checked expression. Durations are in seconds, truth values 1 and 0. */
+/** A type-checked expression. Durations are in seconds; truth values are 1 and 0. */
 interface Expression {
-  /** What a value is. */
+  /** Type of a value. */
   enum Type {
     NUMBER,
     DURATION,
     TRUTH
   }
 
-  /** What the expression's value is. */
+  /** Returns the type of the expression's value. */
   Type type();
 
-  /** The value, by those of the variables; one that has none counts as 0. */
+  /** Evaluates the expression. A variable without a value counts as 0. */
   double eval(Map<String, Double> variables);
 
   /** A constant. */
@@ -25,7 +25,7 @@
     }
   }
 
-  /** A variable's value. */
+  /** A reference to a variable. */
   record Variable(Type type, String name) implements Expression {
     @Override
     public double eval(Map<String, Double> variables) {
@@ -33,7 +33,7 @@
     }
   }
 
-  /** A negation, of a truth value or of an amount. */
+  /** The negation of a truth value or of an amount. */
   record Negation(Expression operand) implements Expression {
     @Override
     public Type type() {
@@ -47,7 +47,10 @@
     }
   }
 
-  /** Two values joined; division by zero gives no number, which the policy then deals with. */
+  /**
+   * A binary operation. Division by zero yields NaN, for which {@link Policy} falls back to the
+   * shipped rule.
+   */
   record Binary(Type type, Operator operator, Expression left, Expression right)
       implements Expression {
     @Override
@@ -56,7 +59,7 @@
     }
   }
 
-  /** One of two values. */
+  /** A conditional expression. */
   record Choice(Expression condition, Expression then, Expression otherwise) implements Expression {
     @Override
     public Type type() {
--- a/src/main/java/gladeknot/policy/ExpressionParser.java
+++ b/src/main/java/gladeknot/policy/ExpressionParser.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Reads one expression by recursive descent, one method for each level of precedence. Types are
- * checked as the expression grows, so that the first fault from the left is the one reported.
+ * Parses one expression by recursive descent, with one method for each level of precedence. Types
+ * are checked while the expression is built, so that the leftmost fault is reported.
  */
 final class ExpressionParser {
   private static final List<String> COMPARISONS = List.of("<", "<=", ">", ">=", "==", "!=");
@@ -20,13 +20,13 @@
   private final Map<String, Type> variables;
   private int depth;
 
-  /** A parser from the cursor's place on. */
+  /** Creates a parser that starts at the cursor's position. */
   ExpressionParser(TokenCursor cursor, Map<String, Type> variables) {
     this.cursor = cursor;
     this.variables = variables;
   }
 
-  /** Reads an expression, and leaves the cursor behind it. */
+  /** Parses an expression and leaves the cursor after its last token. */
   Expression parse() {
     Expression left = conjunction();
     while (cursor.at("or")) {
@@ -78,7 +78,7 @@
     }
     try {
       if (cursor.at("-")) {
-        return TypeChecker.negative(cursor.take(), unary());
+        return TypeChecker.negation(cursor.take(), unary());
       }
       if (cursor.at("not")) {
         return TypeChecker.not(cursor.take(), unary());
@@ -139,7 +139,7 @@
     return new Expression.Variable(type, name.text());
   }
 
-  /** A number, or a duration if a unit follows. */
+  /** Creates a constant: a number, or a duration if a unit follows. */
   private Expression constant(double value) {
     double secondsPerUnit =
         switch (cursor.textAhead(0)) {
--- a/src/main/java/gladeknot/policy/Operator.java
+++ b/src/main/java/gladeknot/policy/Operator.java
@@ -1,11 +1,11 @@
 package gladeknot.policy;
 
-/** What joins two values; truth values are 1 and 0. */
+/** Binary operators and functions. Truth values are 1 and 0. */
 enum Operator {
   PLUS("+"),
   MINUS("-"),
   TIMES("*"),
-  OVER("/"),
+  DIVIDED_BY("/"),
   LESS("<"),
   LESS_OR_EQUAL("<="),
   GREATER(">"),
@@ -23,23 +23,23 @@
     this.text = text;
   }
 
-  /** The operator that a token names. */
+  /** Returns the operator with the given text. */
   static Operator ofText(String text) {
     for (Operator operator : values()) {
       if (operator.text.equals(text)) {
         return operator;
       }
     }
-    throw new IllegalStateException(text);
+    throw new IllegalStateException("unknown operator " + text);
   }
 
-  /** Joins two values; division by zero gives no number. */
+  /** Applies the operator to two values. Division by zero yields NaN. */
   double apply(double left, double right) {
     return switch (this) {
       case PLUS -> left + right;
       case MINUS -> left - right;
       case TIMES -> left * right;
-      case OVER -> right == 0 ? Double.NaN : left / right;
+      case DIVIDED_BY -> right == 0 ? Double.NaN : left / right;
       case LESS -> truth(left < right);
       case LESS_OR_EQUAL -> truth(left <= right);
       case GREATER -> truth(left > right);
--- a/src/main/java/gladeknot/policy/Policy.java
+++ b/src/main/java/gladeknot/policy/Policy.java
@@ -19,51 +19,60 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The rules that tune a controller's decisions: the shipped ones, with those of an operators' file
- * over them. Runs on the event loop's thread; results are kept until the variables change.
+ * Rules that tune a controller's decisions. Rules of an operators' file override the shipped rules.
+ * Must be used on the event loop's thread. Results are cached until the variables change.
  */
 public final class Policy {
   private static final Logger LOG = LoggerFactory.getLogger(Policy.class);
-  private static final String SHIPPED = "/gladeknot/policy/default.policy";
+  private static final String SHIPPED_RESOURCE = "/gladeknot/policy/default.policy";
 
   /**
-   * What can be set, with the range that a result is kept in; durations in seconds. {@code
-   * default.policy} says what each is for.
+   * Names that rules can set, with the range that each result is limited to. Durations are in
+   * seconds. {@code default.policy} describes the purpose of each name.
    */
   public enum Name {
-    /** How long a controller's lease on the state store lasts. */
+    /** Duration of a controller's lease in the state service. */
     STATE_LEASE(Type.DURATION, 1, 60),
-    /** How full machines are meant to be with work that has a deadline. */
+    /** Target utilization of the capacity kept for jobs with deadlines. */
     FILL(Type.NUMBER, 0.2, 5),
-    /** The same for work that a machine scaled out on demand is still in time for. */
+    /**
+     * Target utilization of the capacity kept for jobs with deadlines for which a machine scaled
+     * out on demand is still in time.
+     */
     FILL_WITH_SLACK(Type.NUMBER, 0.2, 5),
-    /** Capacity kept for work that starts at once, in standard deviations above the mean. */
+    /** Capacity kept for jobs that should start at once, in standard deviations above the mean. */
     SPREAD(Type.NUMBER, 0, 10),
-    /** For how long ahead capacity is kept for services. */
+    /** Time ahead for which capacity is kept for services. */
     SERVICE_AHEAD(Type.DURATION, 0, 3600),
-    /** Over which time arrivals are counted. */
+    /** Length of the window in which arrivals of jobs are counted. */
     WINDOW(Type.DURATION, 10, 3600),
-    /** After how long an idle machine that is not needed is scaled in. */
+    /** Time after which an idle machine that is not required is scaled in. */
     IDLE_KEEP(Type.DURATION, 0, 86400),
-    /** How long replicas wait before a machine is scaled out for them. */
+    /** Time that replicas wait before a machine is scaled out for them. */
     REPLICA_WAIT(Type.DURATION, 0, 3600),
-    /** How long work without any objective waits before a machine is scaled out for it. */
+    /** Time that jobs without an objective wait before a machine is scaled out for them. */
     PATIENCE(Type.DURATION, 0, 86400),
-    /** Up to which multiple of the least cost GPU machines serve work without GPUs. */
+    /**
+     * Maximum cost of a task without GPUs on a machine with GPUs, as a multiple of its cost on the
+     * cheapest machine without GPUs.
+     */
     DEAR(Type.NUMBER, 0, 1000),
-    /** After how long work that has not begun goes first in its priority. */
+    /** Time after which a job that has not started takes precedence within its priority. */
     STARVE_AFTER(Type.DURATION, 0, 86400),
-    /** After how long a task of another shard is claimed. */
+    /** Time after which a pending task of another shard is claimed. */
     CLAIM_AFTER(Type.DURATION, 0, 60),
-    /** After how long tasks of lower priority are preempted. */
+    /** Time after which tasks of lower priority are preempted for a pending task. */
     STOP_AFTER(Type.DURATION, 0, 600),
-    /** After how long tasks of equal priority are preempted for a guarantee. */
+    /** Time after which tasks of equal priority are preempted for a guarantee. */
     STOP_EQUAL_AFTER(Type.DURATION, 0, 600),
-    /** The share of the time that a task has, after which a machine is scaled out for it. */
+    /**
+     * Fraction of the time that a task has. A machine is scaled out for a task that would start
+     * later than this.
+     */
     HASTE(Type.NUMBER, 0, 1),
-    /** The share of the time left at which deferred jobs go among the first again. */
+    /** Remaining fraction of the time for an objective at which deferred jobs come first again. */
     LAST_CALL(Type.NUMBER, 0, 1),
-    /** For a guarantee, how much work a preempted task of equal priority may lose at most. */
+    /** Maximum work lost by a task of equal priority that is preempted for a guarantee. */
     YOUNG(Type.DURATION, 0, 86400);
 
     private final Type type;
@@ -80,7 +89,7 @@
       return Math.max(min, Math.min(max, value));
     }
 
-    /** The name in a policy text. */
+    /** Returns the name in a policy text. */
     String text() {
       return name().toLowerCase(Locale.ROOT);
     }
@@ -108,7 +117,7 @@
   private final Map<Name, Expression> operatorRules = new EnumMap<>(Name.class);
   private final Map<String, Double> variables = new HashMap<>();
   private final Map<Name, Double> values = new EnumMap<>(Name.class);
-  private final Set<Name> reported = new HashSet<>();
+  private final Set<Name> loggedNames = new HashSet<>();
 
   private Policy(Map<String, Expression> shipped, Map<String, Expression> operators) {
     for (Name name : Name.values()) {
@@ -128,14 +137,14 @@
   }
 
   private static Map<String, Expression> parseShipped() {
-    try (InputStream in = Policy.class.getResourceAsStream(SHIPPED)) {
+    try (InputStream in = Policy.class.getResourceAsStream(SHIPPED_RESOURCE)) {
       return parser().parse(new String(in.readAllBytes(), StandardCharsets.UTF_8));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** The faults of a file, each with line and column. */
+  /** Returns the faults of a file, each with line and column. */
   public static List<String> check(Path file) {
     PolicyParser parser = parser();
     try {
@@ -147,7 +156,7 @@
   }
 
   /**
-   * The shipped rules, with those of a file over them.
+   * Creates a policy in which the rules of a file override the shipped rules.
    *
    * @param file the operators' file; null if there is none
    * @throws IOException if the file can't be read
@@ -157,7 +166,11 @@
     return of(file == null ? "" : Files.readString(file));
   }
 
-  /** The shipped rules, with those of a text over them. */
+  /**
+   * Creates a policy in which the rules of a text override the shipped rules.
+   *
+   * @throws IllegalArgumentException if the text has faults
+   */
   public static Policy of(String text) {
     PolicyParser parser = parser();
     Map<String, Expression> operators = parser.parse(text);
@@ -167,7 +180,7 @@
     return new Policy(parseShipped(), operators);
   }
 
-  /** Sets the variables that stay the same while the process lives. */
+  /** Sets the variables that are constant during the life of the process. */
   public void settings(Settings settings) {
     variables.put(LEASE, settings.workers().leaseMicros() / MICROS_PER_SECOND);
     variables.put(CANCEL, settings.workers().cancelMicros() / MICROS_PER_SECOND);
@@ -183,12 +196,12 @@
     values.clear();
   }
 
-  /** A rule's value: a number, or a duration in seconds. */
+  /** Returns the value of a rule: a number, or a duration in seconds. */
   public double number(Name name) {
     return values.computeIfAbsent(name, this::eval);
   }
 
-  /** A rule's duration in microseconds. */
+  /** Returns the value of a rule that is a duration, in microseconds. */
   public long micros(Name name) {
     return (long) (number(name) * MICROS_PER_SECOND);
   }
@@ -196,13 +209,16 @@
   private double eval(Name name) {
     double value = evalUnclamped(name);
     double clamped = name.clamp(value);
-    if (clamped != value && reported.add(name)) {
+    if (clamped != value && loggedNames.add(name)) {
       LOG.error("policy rule clamped rule={} value={} used={}", name.text(), value, clamped);
     }
     return clamped;
   }
 
-  /** The operators' value; the shipped one if they set none, or theirs is no number. */
+  /**
+   * Returns the value of the operators' rule. Returns that of the shipped rule if the operators set
+   * none or if theirs yields NaN.
+   */
   private double evalUnclamped(Name name) {
     Expression operatorRule = operatorRules.get(name);
     if (operatorRule != null) {
@@ -210,7 +226,7 @@
       if (!Double.isNaN(value)) {
         return value;
       }
-      if (reported.add(name)) {
+      if (loggedNames.add(name)) {
         LOG.error("policy rule divides by zero rule={} used=shipped", name.text());
       }
     }
--- a/src/main/java/gladeknot/policy/PolicyLexer.java
+++ b/src/main/java/gladeknot/policy/PolicyLexer.java
@@ -5,9 +5,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Splits a line of a policy into tokens; blanks and comments are left out. */
+/** Splits a line of a policy into tokens; skips whitespace and comments. */
 final class PolicyLexer {
-  /** A number, a name or an operator, with its column, counted from 1. */
+  /** A number, a name or an operator, with its column counted from 1. */
   record Token(String text, int column) {
     boolean isNumber() {
       return Character.isDigit(text.charAt(0));
@@ -21,7 +21,11 @@
 
   private PolicyLexer() {}
 
-  /** The tokens of a line; fails at the first character that can't begin one. */
+  /**
+   * Returns the tokens of a line.
+   *
+   * @throws PolicySyntaxException at the first character that can't begin a token
+   */
   static List<Token> tokens(String line) {
     List<Token> tokens = new ArrayList<>();
     Matcher matcher = TOKEN.matcher(line);
--- a/src/main/java/gladeknot/policy/PolicyParser.java
+++ b/src/main/java/gladeknot/policy/PolicyParser.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads a policy text, a rule a line; each line that can't be read becomes a fault. */
+/** Parses a policy text, which has one rule per line. Each line that can't be parsed is a fault. */
 final class PolicyParser {
-  /** A fault of the text; line and column are counted from 1. */
+  /** A fault in the text; line and column are counted from 1. */
   record Fault(int line, int column, String message) {
     @Override
     public String toString() {
@@ -21,18 +21,23 @@
   private final Map<String, Type> variables;
   private final List<Fault> faults = new ArrayList<>();
 
-  /** A parser that knows the names that can be set, and those that expressions can use. */
+  /**
+   * Creates a parser.
+   *
+   * @param settable the names that rules can set, with the types of their values
+   * @param variables the names that expressions can use, with the types of their values
+   */
   PolicyParser(Map<String, Type> settable, Map<String, Type> variables) {
     this.settable = settable;
     this.variables = variables;
   }
 
-  /** The faults found so far, in the order of the lines. */
+  /** Returns the faults found so far, in the order of the lines. */
   List<Fault> faults() {
     return faults;
   }
 
-  /** The expressions by the names that they set. */
+  /** Parses a text. Returns the valid rules: the expressions by the names that they set. */
   Map<String, Expression> parse(String text) {
     Map<String, Expression> rules = new LinkedHashMap<>();
     int lineNumber = 0;
@@ -68,16 +73,16 @@
     Expression value = new ExpressionParser(cursor, variables).parse();
     cursor.expectEnd();
     if (value.type() != type) {
-      throw new PolicySyntaxException(column, wrongType(name, type, value.type()));
+      throw new PolicySyntaxException(column, wrongTypeMessage(name, type, value.type()));
     }
     rules.put(name.text(), value);
   }
 
-  private static String wrongType(Token name, Type expected, Type actual) {
+  private static String wrongTypeMessage(Token name, Type expected, Type actual) {
     return name.text()
         + " must be a "
-        + TypeChecker.word(expected)
+        + TypeChecker.typeName(expected)
         + ", this is a "
-        + TypeChecker.word(actual);
+        + TypeChecker.typeName(actual);
   }
 }
--- a/src/main/java/gladeknot/policy/PolicySyntaxException.java
+++ b/src/main/java/gladeknot/policy/PolicySyntaxException.java
@@ -1,12 +1,12 @@
 package gladeknot.policy;
 
-/** A line of a policy that can't be read, with the column of its first fault. */
+/** Thrown for a line of a policy that can't be parsed, with the column of its first fault. */
 final class PolicySyntaxException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   private final int column;
 
-  /** A fault at a column, counted from 1. */
+  /** Creates an exception for a fault at a column, counted from 1. */
   PolicySyntaxException(int column, String message) {
     super(message, null, false, false);
     this.column = column;
--- a/src/main/java/gladeknot/policy/TypeChecker.java
+++ b/src/main/java/gladeknot/policy/TypeChecker.java
@@ -4,16 +4,19 @@
 import gladeknot.policy.PolicyLexer.Token;
 import java.util.Locale;
 
-/** Builds expressions whose parts' types and units fit each other, or fails at the operator. */
+/**
+ * Builds expressions from operands, and checks that the types of the operands match. If they do
+ * not, a {@link PolicySyntaxException} with the operator's column is thrown.
+ */
 final class TypeChecker {
   private TypeChecker() {}
 
-  /** A type's name in messages. */
-  static String word(Type type) {
+  /** Returns the name of a type in messages. */
+  static String typeName(Type type) {
     return type.name().toLowerCase(Locale.ROOT);
   }
 
-  /** {@code and} or {@code or}: both sides are truth values. */
+  /** Creates {@code and} or {@code or}. Both operands must be truth values. */
   static Expression logical(Token operator, Expression left, Expression right) {
     if (left.type() != Type.TRUTH || right.type() != Type.TRUTH) {
       throw new PolicySyntaxException(operator.column(), operator.text() + " joins truth values");
@@ -21,20 +24,23 @@
     return binary(Type.TRUTH, operator, left, right);
   }
 
-  /** A comparison: both sides have the same type. */
+  /** Creates a comparison. Both operands must have the same type. */
   static Expression comparison(Token operator, Expression left, Expression right) {
     requireSameType(operator, left, right);
     return binary(Type.TRUTH, operator, left, right);
   }
 
-  /** A sum, a difference, {@code min} or {@code max}: both sides are amounts of the same type. */
+  /**
+   * Creates a sum, a difference, {@code min} or {@code max}. Both operands must be amounts of the
+   * same type.
+   */
   static Expression sameAmounts(Token operator, Expression left, Expression right) {
     requireSameType(operator, left, right);
     requireAmount(operator, left);
     return binary(left.type(), operator, left, right);
   }
 
-  /** A product: of numbers, or of a duration and a number. */
+  /** Creates a product of two numbers, or of a duration and a number. */
   static Expression product(Token operator, Expression left, Expression right) {
     requireAmount(operator, left);
     requireAmount(operator, right);
@@ -47,7 +53,7 @@
     return binary(type, operator, left, right);
   }
 
-  /** A quotient: a duration over a duration is a number. */
+  /** Creates a quotient. A duration divided by a duration is a number. */
   static Expression quotient(Token operator, Expression left, Expression right) {
     requireAmount(operator, left);
     requireAmount(operator, right);
@@ -58,13 +64,13 @@
     return binary(type, operator, left, right);
   }
 
-  /** The negative of an amount. */
-  static Expression negative(Token operator, Expression operand) {
+  /** Creates the negation of an amount. */
+  static Expression negation(Token operator, Expression operand) {
     requireAmount(operator, operand);
     return new Expression.Negation(operand);
   }
 
-  /** The opposite of a truth value. */
+  /** Creates the negation of a truth value. */
   static Expression not(Token operator, Expression operand) {
     if (operand.type() != Type.TRUTH) {
       throw new PolicySyntaxException(operator.column(), "not takes a truth value");
@@ -72,14 +78,14 @@
     return new Expression.Negation(operand);
   }
 
-  /** The condition of {@code if}. */
+  /** Checks that the condition of {@code if} is a truth value. */
   static void requireCondition(Token operator, Expression condition) {
     if (condition.type() != Type.TRUTH) {
       throw new PolicySyntaxException(operator.column(), "if needs a truth value first");
     }
   }
 
-  /** One of two values of the same type. */
+  /** Creates a conditional expression. Both values must have the same type. */
   static Expression choice(
       Token operator, Expression condition, Expression then, Expression otherwise) {
     requireSameType(operator, then, otherwise);
@@ -94,7 +100,11 @@
     if (left.type() != right.type()) {
       throw new PolicySyntaxException(
           operator.column(),
-          operator.text() + " joins a " + word(left.type()) + " and a " + word(right.type()));
+          operator.text()
+              + " joins a "
+              + typeName(left.type())
+              + " and a "
+              + typeName(right.type()));
     }
   }
 
--- a/src/main/java/gladeknot/policy/package-info.java
+++ b/src/main/java/gladeknot/policy/package-info.java
@@ -1,9 +1,10 @@
 /**
- * The operators' policy language: named rules with numbers, durations and conditions.
+ * The policy language for operators: named rules with numbers, durations and conditions.
  *
- * <p>A text is read line by line: {@code PolicyLexer} splits a line into tokens, {@code
- * ExpressionParser} reads the expression, and {@code TypeChecker} checks types and units as it
- * grows. {@link gladeknot.policy.Policy} evaluates the rules, the operators' over the shipped ones,
- * and keeps each result within its range. Uses {@code settings} alone.
+ * <p>A text is parsed line by line: {@code PolicyLexer} splits a line into tokens, {@code
+ * ExpressionParser} parses the expression, and {@code TypeChecker} checks types and units while the
+ * expression is built. {@link gladeknot.policy.Policy} evaluates the rules and limits each result
+ * to its range. Operators' rules override the shipped rules. The package uses only {@code
+ * settings}.
  */
 package gladeknot.policy;
--- a/src/test/java/gladeknot/policy/PolicyTest.java
+++ b/src/test/java/gladeknot/policy/PolicyTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Tests the evaluation of policy rules and the faults reported for a policy file. */
 class PolicyTest {
   @TempDir Path dir;
 
@@ -27,7 +28,7 @@
         "fill = 99 | FILL | 5",
         "# nothing | STATE_LEASE | 20.125",
       })
-  void values(String text, String name, double value) {
+  void ruleEvaluatesToValue(String text, String name, double value) {
     Policy policy = Policy.of(text);
     policy.settings(TestSettings.SETTINGS);
     policy.load(2, 11);
@@ -50,7 +51,7 @@
         "idle_keep = 1 s * 1 s | 1:17: a duration times a duration has no meaning",
         "fill = if(1, 2, 3) | 1:8: if needs a truth value first",
       })
-  void faults(String text, String fault) throws IOException {
+  void faultsAreReportedWithTheirPosition(String text, String fault) throws IOException {
     Path file = dir.resolve("p");
     Files.writeString(file, text);
     assertEquals(java.util.List.of(fault), Policy.check(file));
--- a/src/test/java/gladeknot/policy/TestSettings.java
+++ b/src/test/java/gladeknot/policy/TestSettings.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
+/** Settings from which the variables of policy rules are computed. */
 final class TestSettings {
   static final Settings SETTINGS =
       new Settings(
