--- a/src/main/java/gladeknot/fleet/Fleet.java
+++ b/src/main/java/gladeknot/fleet/Fleet.java
@@ -135,7 +135,7 @@
     for (SchedulerView.PendingTasks pending : queue) {
       pendingCount += pending.count();
     }
-    policy.load(workers.all().size(), pendingCount);
+    policy.setLoad(workers.all().size(), pendingCount);
     reactiveScaleOut.run(queue);
     transfer.run(queue);
   }
--- a/src/main/java/gladeknot/policy/Policy.java
+++ b/src/main/java/gladeknot/policy/Policy.java
@@ -190,7 +190,7 @@
   }
 
   /** Sets the variables that change with the cluster's load. */
-  public void load(int machines, int waitingTasks) {
+  public void setLoad(int machines, int waitingTasks) {
     variables.put(MACHINES, (double) machines);
     variables.put(WAITING_TASKS, (double) waitingTasks);
     values.clear();
