--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -38,7 +38,7 @@
       Policy policy,
       RandomGenerator random,
       TaskTracer tracer) {
-    policy.settings(settings);
+    policy.setSettings(settings);
     this.tracer = tracer;
     this.components = new ControllerComponents(settings, features, policy, random, tracer);
     this.router =
--- a/src/main/java/gladeknot/policy/Policy.java
+++ b/src/main/java/gladeknot/policy/Policy.java
@@ -181,7 +181,7 @@
   }
 
   /** Sets the variables that are constant during the life of the process. */
-  public void settings(Settings settings) {
+  public void setSettings(Settings settings) {
     variables.put(LEASE, settings.workers().leaseMicros() / MICROS_PER_SECOND);
     variables.put(CANCEL, settings.workers().cancelMicros() / MICROS_PER_SECOND);
     variables.put(HEARTBEAT, settings.workers().heartbeatMicros() / MICROS_PER_SECOND);
--- a/src/test/java/gladeknot/policy/PolicyTest.java
+++ b/src/test/java/gladeknot/policy/PolicyTest.java
@@ -30,7 +30,7 @@
       })
   void ruleEvaluatesToValue(String text, String name, double value) {
     Policy policy = Policy.of(text);
-    policy.settings(TestSettings.SETTINGS);
+    policy.setSettings(TestSettings.SETTINGS);
     policy.setLoad(2, 11);
     assertEquals(value, policy.number(Policy.Name.valueOf(name)), 1e-9);
   }
