--- a/src/main/java/gladeknot/scheduling/CandidateMachine.java
+++ b/src/main/java/gladeknot/scheduling/CandidateMachine.java
@@ -31,7 +31,8 @@
 
   /**
    * Creates a candidate from a worker's machine. The resources of the worker's open attempts are
-   * not free. If the last heartbeat reports a task without an attempt here, no CPU is free.
+   * not free. If the last heartbeat reports a running attempt that is not known here, no CPU is
+   * free.
    */
   static CandidateMachine of(Worker worker, MachineType type) {
     CandidateMachine machine = new CandidateMachine(worker, type);
--- a/src/main/java/gladeknot/scheduling/CapacityReserver.java
+++ b/src/main/java/gladeknot/scheduling/CapacityReserver.java
@@ -15,8 +15,8 @@
 
 /**
  * Reserves resources for pending tasks that found no machine. It reserves resources that
- * terminating tasks are about to free. Once the pending tasks have waitedMicros long enough, it
- * also preempts running tasks and reserves their resources.
+ * terminating tasks are about to free. Once the pending tasks have waited long enough, it also
+ * preempts running tasks and reserves their resources.
  */
 final class CapacityReserver {
   private static final Logger LOG = LoggerFactory.getLogger(CapacityReserver.class);
@@ -86,9 +86,9 @@
 
   /**
    * Returns the request that determines which tasks may be preempted for a slice now; null if none
-   * may be. Shards that have free resources start the tasks first. A shard that would have to
-   * preempt for another shard's tasks therefore waits longer than that shard and the shards between
-   * the two in the order of shards.
+   * may be. Shards that have free resources should start the tasks first. A shard that would have
+   * to preempt for another shard's tasks therefore waits longer than that shard and the shards
+   * between the two in the order of shards.
    */
   private PreemptionRequest preemptionRequest(PendingSlice pending, SchedulingCycle cycle) {
     boolean remoteInFlight = pending.remote() && committer.isInFlight(pending.slice());
--- a/src/main/java/gladeknot/scheduling/PendingSlice.java
+++ b/src/main/java/gladeknot/scheduling/PendingSlice.java
@@ -26,9 +26,8 @@
     long deadlineKey,
     int order) {
   // Weights of the criteria in the order, from the least to the most significant: the remote flag
-  // (0
-  // or 1), the deadline tier (0 to 8), two flags and the priority. Each weight exceeds the maximum
-  // sum of all less significant terms.
+  // (0 or 1), the deadline tier (0 to 8), two flags and the priority. Each weight exceeds the
+  // maximum sum of all less significant terms.
 
   /** Weight of the remote flag: slices of the scheduled shard come first within a tier. */
   private static final int REMOTE_WEIGHT = 1;
--- a/src/main/java/gladeknot/scheduling/SchedulingCycle.java
+++ b/src/main/java/gladeknot/scheduling/SchedulingCycle.java
@@ -116,8 +116,8 @@
    * Returns the number of tasks that the machines have resources for. Stops at the wanted number.
    */
   private long capacityFor(JobSpec spec, int wanted) {
-    // For priorities other than normal, each machine counts for at least one task: it may become
-    // free.
+    // For priorities other than normal, each machine counts for at least one task, because its
+    // resources may become free.
     int minTasksPerMachine = spec.priority() == JobSpec.Priority.NORMAL ? 0 : 1;
     long capacity = 0;
     for (CandidateMachine machine : machines) {
--- a/src/main/java/gladeknot/scheduling/TaskClaimer.java
+++ b/src/main/java/gladeknot/scheduling/TaskClaimer.java
@@ -54,8 +54,7 @@
     if (committer.isInFlight(remote)) {
       // The record of the slice is being written. Its tasks count as unplaced meanwhile, so that
       // resources stay reserved for them. Otherwise other tasks could get these resources, and
-      // would
-      // be preempted again for the tasks of the slice.
+      // would be preempted again for the tasks of the slice.
       return pendingTasks;
     }
     Slice own = slices.get(cycle.shard(), spec.id());
