--- a/src/main/java/gladeknot/workers/CommandCodec.java
+++ b/src/main/java/gladeknot/workers/CommandCodec.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes what is sent to workers: answers to heartbeats and direct commands. */
+/** Encodes the messages to workers: answers to heartbeats, and direct commands. */
 public final class CommandCodec {
   private static final String FENCING_TOKEN = "fence";
   private static final String INCARNATION = "tenure";
@@ -22,17 +22,20 @@
 
   private CommandCodec() {}
 
-  /** The answer to a heartbeat that is accepted. */
+  /** Returns the answer to an accepted heartbeat. */
   static Map<String, Object> answer(long fencingToken, List<WorkerCommand> commands) {
     return Json.of(FENCING_TOKEN, fencingToken, COMMANDS, encode(commands));
   }
 
-  /** The answer that sends a worker to another controller. */
+  /** Returns the answer that redirects a worker to another controller. */
   static Map<String, Object> redirect(String node) {
     return Json.of(REDIRECT, node);
   }
 
-  /** Commands sent to a worker's own address; they apply to one incarnation of it only. */
+  /**
+   * Returns a message with commands for a worker's own endpoint. They apply to one incarnation of
+   * the worker only.
+   */
   public static Map<String, Object> directCommands(
       long fencingToken, long incarnation, List<WorkerCommand> commands) {
     return Json.of(
--- a/src/main/java/gladeknot/workers/EndCause.java
+++ b/src/main/java/gladeknot/workers/EndCause.java
@@ -1,10 +1,10 @@
 package gladeknot.workers;
 
-/** Why a task has exited, as far as that makes a difference to the controllers. */
+/** Reason for which a task exited, as far as the controllers distinguish reasons. */
 public enum EndCause {
-  /** It completed. */
+  /** The task completed. */
   SUCCEEDED,
-  /** It failed, mostly because its machine is faulty. */
+  /** The task failed, mostly because its machine is faulty. */
   FAILED,
   /** The worker refused the start: not enough free resources. */
   INSUFFICIENT_RESOURCES,
@@ -13,8 +13,8 @@
   /** The worker refused the start: the job has no such task, or was not submitted yet. */
   UNKNOWN_TASK,
   /**
-   * Any other: stopped by command, another task of the gang is gone, the gang was not complete in
-   * time, no cause was given, or one that this version does not know.
+   * Any other reason: the task was stopped by command, another task of its gang was gone, its gang
+   * was not complete in time, the worker gave no cause, or this version does not know the cause.
    */
   OTHER
 }
--- a/src/main/java/gladeknot/workers/HeartbeatAnswers.java
+++ b/src/main/java/gladeknot/workers/HeartbeatAnswers.java
@@ -6,7 +6,7 @@
 import gladeknot.outbox.Outbox;
 import java.util.List;
 
-/** Answers heartbeats: the one place that knows what each outcome is on the wire. */
+/** Sends the answers to heartbeats. Only this class maps each outcome to its form on the wire. */
 final class HeartbeatAnswers {
   private static final int ACCEPTED = 200;
   private static final int MALFORMED = 400;
@@ -14,7 +14,10 @@
   private static final int UNAVAILABLE = 503;
   private static final int RETRY_AFTER_SECONDS = 1;
 
-  /** Why a heartbeat is refused for now: the worker keeps its lease and tries another node. */
+  /**
+   * Reason for a temporary refusal of a heartbeat. The worker keeps its lease and retries at
+   * another node.
+   */
   enum Refusal {
     NOT_ENTITLED("not entitled to answer workers"),
     UNKNOWN_WORKER("unknown machine"),
@@ -40,22 +43,22 @@
     this.observer = observer;
   }
 
-  /** The body is no heartbeat; {@code problem} tells the worker what is wrong. */
+  /** Answers that the body is not a valid heartbeat; {@code problem} tells the worker why. */
   void malformed(long request, String problem) {
     outbox.answer(request, MALFORMED, Json.of("error", problem));
   }
 
-  /** No answer can be given now. */
+  /** Refuses a heartbeat for now, with a retry delay. */
   void refuse(long request, Refusal refusal) {
     outbox.retryLater(request, UNAVAILABLE, refusal.text, RETRY_AFTER_SECONDS);
   }
 
-  /** The worker has to send its heartbeats to another node. */
+  /** Redirects the worker, which must send its heartbeats to another node. */
   void redirect(long request, String node) {
     outbox.answer(request, MISDIRECTED, CommandCodec.redirect(node));
   }
 
-  /** Renews the lease of a worker of an owned shard, and sends it commands. */
+  /** Renews the lease of a worker of an owned shard and sends commands to the worker. */
   void accept(long request, Worker worker, List<WorkerCommand> commands, long nowMicros) {
     long term = membership.term(worker.shard());
     worker.onAnswered(nowMicros, term);
@@ -63,7 +66,7 @@
     outbox.answer(request, ACCEPTED, CommandCodec.answer(term, commands));
   }
 
-  /** Renews a worker's lease in the place of its shard's owner, whose term is given. */
+  /** Renews a worker's lease on behalf of its shard's owner. {@code term} is the owner's term. */
   void acceptAsDelegate(long request, long term, List<WorkerCommand> commands) {
     outbox.answer(request, ACCEPTED, CommandCodec.answer(term, commands));
   }
--- a/src/main/java/gladeknot/workers/HeartbeatCodec.java
+++ b/src/main/java/gladeknot/workers/HeartbeatCodec.java
@@ -7,17 +7,20 @@
 import java.util.OptionalDouble;
 import java.util.regex.Pattern;
 
-/** Reads what workers send: heartbeats, and the replies to direct commands and status requests. */
+/**
+ * Decodes the messages from workers: heartbeats, and replies to direct commands and status
+ * requests.
+ */
 public final class HeartbeatCodec {
   private static final String INCARNATION = "tenure";
   private static final String TASKS = "strands";
   private static final String TASK = "strand";
   private static final Pattern TASK_NUMBER = Pattern.compile("[0-9]{1,6}");
-  private static final double NO_NOTICE = -1;
+  private static final double NO_RECLAIM_NOTICE = -1;
 
   private HeartbeatCodec() {}
 
-  /** Reads a heartbeat; fails on the first field that breaks the form. */
+  /** Decodes a heartbeat. Throws for the first malformed field. */
   public static Heartbeat read(Map<String, Object> message) throws MalformedHeartbeatException {
     List<Heartbeat.TaskStatus> tasks = tasks(message);
     return new Heartbeat(
@@ -33,13 +36,13 @@
         tasks);
   }
 
-  /** The incarnation that a worker's reply names; 0 if it names none. */
+  /** Returns the incarnation in a worker's reply; 0 if the reply contains none. */
   public static long incarnation(Map<String, Object> reply) {
     return Json.num(reply, INCARNATION, 0);
   }
 
   private static OptionalDouble reclaimInSeconds(Map<String, Object> message) {
-    double seconds = Json.real(message, "recallS", NO_NOTICE);
+    double seconds = Json.real(message, "recallS", NO_RECLAIM_NOTICE);
     return seconds < 0 ? OptionalDouble.empty() : OptionalDouble.of(seconds);
   }
 
--- a/src/main/java/gladeknot/workers/HeartbeatHandler.java
+++ b/src/main/java/gladeknot/workers/HeartbeatHandler.java
@@ -13,37 +13,44 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Admits the workers' heartbeats and answers them. */
+/** Admits and answers the workers' heartbeats. */
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
-  /** Brings what heartbeats list together with what the records say. */
+  /** Reconciles the tasks that heartbeats list with the stored records. */
   public interface Reconciler {
-    /** The commands that follow from a heartbeat that has just been admitted, or was held. */
+    /**
+     * Returns the commands that follow from a heartbeat that was just admitted or was held until
+     * now.
+     */
     List<WorkerCommand> reconcile(Worker worker, Heartbeat heartbeat);
 
     /**
-     * Has starts decided, now or soon; returns the number of the scheduling round that takes the
-     * newest heartbeats into account.
+     * Requests a scheduling round, which runs now or soon. Returns the number of the round that
+     * takes the newest heartbeats into account.
      */
     long requestScheduling();
 
-    /** How many scheduling rounds there have been. */
+    /** Returns the number of completed scheduling rounds. */
     long completedRounds();
 
-    /** A worker has restarted: what its status does not list is no longer on it. */
+    /** Handles the restart of a worker. Tasks that its status does not list are no longer on it. */
     void onWorkerRestart(Worker worker, Heartbeat status);
 
-    /** Whether nothing on a worker is about to end or to start, as far as is known. */
+    /** Returns whether no task on a worker is known to be about to end or to start. */
     boolean isSteady(Worker worker);
 
-    /** Whether tasks wait for quota that an end on a worker makes free once it is committed. */
+    /**
+     * Returns whether tasks wait for quota that an end on a worker frees once the end is committed.
+     */
     boolean awaitsEnd(Worker worker);
 
-    /** Kills for the listed tasks whose jobs are finished by the cached state. */
+    /**
+     * Returns kill commands for the listed tasks whose jobs are finished according to the cache.
+     */
     List<WorkerCommand> killsForFinishedJobs(Heartbeat heartbeat);
 
-    /** Registers a machine that the cached state does not have. */
+    /** Registers a machine that the cache does not contain. */
     void registerUnknownWorker(Heartbeat heartbeat);
   }
 
@@ -58,7 +65,7 @@
   private final RestartProbe restartProbe;
   private long nowMicros;
 
-  /** A handler that answers through the outbox. */
+  /** Creates a handler that answers through the outbox. */
   public HeartbeatHandler(
       Settings settings,
       StateStore stateStore,
@@ -79,19 +86,19 @@
     restartProbe = new RestartProbe(membership, outbox, reconciler);
   }
 
-  /** Sets the time, and answers held heartbeats that can't wait any longer. */
+  /** Sets the current time and answers held heartbeats that need not wait any longer. */
   public void tick(long now) {
     nowMicros = now;
     remoteHeartbeats.tick(now);
     longPolls.tick(now);
   }
 
-  /** Answers heartbeats that were held for a commit, which has ended. */
+  /** Answers heartbeats that were held for a commit that has now ended. */
   public void release() {
     longPolls.release();
   }
 
-  /** POST /hello. */
+  /** Handles a heartbeat, sent as {@code POST /hello}. */
   public void handle(long request, byte[] body) {
     Heartbeat heartbeat;
     try {
@@ -113,7 +120,7 @@
     }
     Worker worker = workers.get(heartbeat.host());
     if (worker == null || !worker.registered()) {
-      // Launched by a request whose answer was lost, or the cached state lags.
+      // Either the answer to the scale-out request was lost, or the cache lags.
       reconciler.registerUnknownWorker(heartbeat);
       answers.refuse(request, Refusal.UNKNOWN_WORKER);
       return;
@@ -127,7 +134,7 @@
     }
   }
 
-  /** Admits a heartbeat of a worker of an owned shard, unless it is to be refused. */
+  /** Admits a heartbeat of a worker of an owned shard, or refuses or redirects it. */
   private void admitOwned(long request, Worker worker, Heartbeat heartbeat) {
     int shard = worker.shard();
     long term = membership.term(shard);
@@ -144,7 +151,7 @@
     }
     Heartbeat last = worker.heartbeat();
     if (last != null && !heartbeat.isNewerThan(last.incarnation(), last.sequence())) {
-      // A delayed copy, which no longer holds; or the machine has restarted.
+      // Either this is a delayed or duplicate heartbeat, or the machine has restarted.
       restartProbe.probe(worker, heartbeat.endpoint(), nowMicros);
       answers.refuse(request, Refusal.OUT_OF_ORDER);
       return;
--- a/src/main/java/gladeknot/workers/ImageCache.java
+++ b/src/main/java/gladeknot/workers/ImageCache.java
@@ -4,19 +4,21 @@
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 
-/** The images that a machine has, as far as its heartbeats and its type's cache size tell. */
+/** Images on a machine, as estimated from its heartbeats and the cache size of its machine type. */
 final class ImageCache {
   private static final int INITIAL_CAPACITY = 8;
   private static final float LOAD_FACTOR = 0.75f;
 
-  /** Sizes in GB by image, the one used most recently last. */
+  /** Sizes in GB by image, the most recently used image last. */
   private final LinkedHashMap<String, Double> sizes =
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
-  /** Records that an image is used, and evicts those used longest ago if they don't fit. */
+  /**
+   * Records the use of an image, and evicts the least recently used images until the others fit.
+   */
   void use(String image, double imageGb, double cacheGb) {
-    Double known = sizes.put(image, imageGb);
-    if (known != null && known == imageGb) {
+    Double knownGb = sizes.put(image, imageGb);
+    if (knownGb != null && knownGb == imageGb) {
       return;
     }
     double usedGb = sizes.values().stream().mapToDouble(Double::doubleValue).sum();
@@ -31,7 +33,7 @@
     return sizes.containsKey(image);
   }
 
-  /** The images, the one used most recently last; a view that follows later changes. */
+  /** Returns a live view of the images, the most recently used image last. */
   Collection<String> images() {
     return sizes.keySet();
   }
--- a/src/main/java/gladeknot/workers/LongPolls.java
+++ b/src/main/java/gladeknot/workers/LongPolls.java
@@ -7,32 +7,41 @@
 import java.util.List;
 
 /**
- * Holds heartbeats whose answers may soon have a run command to carry. Run commands are sent in
- * answers alone, so that a start that misses an answer waits for the next heartbeat.
+ * Holds heartbeats as long polls while there may soon be a run command for the worker. Run commands
+ * are sent only in answers to heartbeats. A start that misses an answer waits for the next
+ * heartbeat.
  */
 final class LongPolls {
-  /**
-   * How long an answer waits for a start that is being decided or committed: at least, at most, and
-   * between these as a share of the heartbeat interval, since both take longer in a large fleet.
-   * Far below the time that a worker waits for an answer.
-   */
+  /** Minimum time for which an answer waits for a start that is being decided or committed. */
   private static final long MIN_COMMIT_WAIT_MICROS = 400_000;
 
+  /**
+   * Maximum time for which an answer waits for a start that is being decided or committed. It is
+   * far below a worker's timeout for an answer.
+   */
   private static final long MAX_COMMIT_WAIT_MICROS = 1_200_000;
+
+  /**
+   * Wait for a start that is being decided or committed, as a share of the heartbeat interval. It
+   * scales with the interval because deciding and committing take longer in a large fleet.
+   */
   private static final double COMMIT_WAIT_SHARE = 0.3;
 
   /**
-   * How long the answer to a steady worker waits for a start that is not even decided, as a share
-   * of the heartbeat interval and at most.
+   * Wait of the answer to a steady worker for a start that is not decided yet, as a share of the
+   * heartbeat interval.
    */
   private static final double STEADY_WAIT_SHARE = 0.5;
 
+  /**
+   * Maximum time for which the answer to a steady worker waits for a start that is not decided yet.
+   */
   private static final long MAX_STEADY_WAIT_MICROS = 2_000_000;
 
-  /** How often held heartbeats are looked through, apart from {@link #release} after commits. */
+  /** Interval between checks of the held heartbeats, apart from {@link #release} after commits. */
   private static final long RELEASE_INTERVAL_MICROS = 40_000;
 
-  /** A heartbeat that is held; it is answered at the deadline at the latest. */
+  /** A held heartbeat, which is answered at its deadline at the latest. */
   private static final class HeldHeartbeat {
     private final long request;
     private final Worker worker;
@@ -84,7 +93,10 @@
     this.answers = answers;
   }
 
-  /** Sets the time, and answers now and then what can't wait any longer. */
+  /**
+   * Sets the current time and, once in each interval, answers held heartbeats that need not wait
+   * any longer.
+   */
   void tick(long now) {
     nowMicros = now;
     if (now >= nextReleaseMicros) {
@@ -94,62 +106,67 @@
   }
 
   /**
-   * Holds a heartbeat if its answer should wait; returns whether it does.
+   * Holds a heartbeat if its answer should wait. Returns whether the heartbeat is held.
    *
-   * @param steady whether there is nothing to command, and nothing is about to change on the worker
+   * @param steady whether there are no commands for the worker and no task on it is about to end or
+   *     to start
    */
   boolean hold(long request, Worker worker, Heartbeat heartbeat, boolean steady) {
     long steadyUntil = steady ? nowMicros + steadyWaitMicros : 0;
     long deadline = Math.max(nowMicros, steadyUntil) + commitWaitMicros;
     long round = reconciler.requestScheduling();
-    HeldHeartbeat candidate =
+    HeldHeartbeat heldHeartbeat =
         new HeldHeartbeat(request, worker, heartbeat, round, deadline, steadyUntil);
-    if (startPending(candidate) || nowMicros < steadyUntil) {
-      held.add(candidate);
+    if (isStartPending(heldHeartbeat) || nowMicros < steadyUntil) {
+      held.add(heldHeartbeat);
       return true;
     }
     return false;
   }
 
-  /** Answers what was held for a commit that has ended, or has waited long enough. */
+  /**
+   * Answers held heartbeats that have reached their deadline or need not wait any longer, for
+   * example because a commit has ended.
+   */
   void release() {
     if (held.isEmpty()) {
       return;
     }
-    for (HeldHeartbeat candidate : List.copyOf(held)) {
-      if (nowMicros >= candidate.deadlineMicros || !mustWait(candidate)) {
-        held.remove(candidate);
-        answer(candidate);
+    for (HeldHeartbeat heldHeartbeat : List.copyOf(held)) {
+      if (nowMicros >= heldHeartbeat.deadlineMicros || !mustWait(heldHeartbeat)) {
+        held.remove(heldHeartbeat);
+        answer(heldHeartbeat);
       }
     }
   }
 
-  private boolean mustWait(HeldHeartbeat candidate) {
-    return startPending(candidate)
-        || (nowMicros < candidate.steadyUntilMicros && !candidate.worker.hasCommandsToSend());
+  private boolean mustWait(HeldHeartbeat heldHeartbeat) {
+    return isStartPending(heldHeartbeat)
+        || (nowMicros < heldHeartbeat.steadyUntilMicros
+            && !heldHeartbeat.worker.hasCommandsToSend());
   }
 
-  /** Whether a start for the worker may be under decision, or waits to be committed. */
-  private boolean startPending(HeldHeartbeat candidate) {
-    boolean awaitsEnd = reconciler.awaitsEnd(candidate.worker);
-    if (candidate.awaitedEnd && !awaitsEnd) {
-      // The end is committed: the next round decides on what it has made free.
-      candidate.schedulingRound = reconciler.requestScheduling();
+  /** Returns whether a start on the worker may be about to be decided, or waits to be committed. */
+  private boolean isStartPending(HeldHeartbeat heldHeartbeat) {
+    boolean awaitsEnd = reconciler.awaitsEnd(heldHeartbeat.worker);
+    if (heldHeartbeat.awaitedEnd && !awaitsEnd) {
+      // The end is committed. The next scheduling round decides on the quota that it freed.
+      heldHeartbeat.schedulingRound = reconciler.requestScheduling();
     }
-    candidate.awaitedEnd = awaitsEnd;
+    heldHeartbeat.awaitedEnd = awaitsEnd;
     return awaitsEnd
-        || reconciler.completedRounds() < candidate.schedulingRound
-        || candidate.worker.hasUncommittedStarts();
+        || reconciler.completedRounds() < heldHeartbeat.schedulingRound
+        || heldHeartbeat.worker.hasUncommittedStarts();
   }
 
-  private void answer(HeldHeartbeat released) {
-    Worker worker = released.worker;
-    if (worker.heartbeat() == released.heartbeat
+  private void answer(HeldHeartbeat heldHeartbeat) {
+    Worker worker = heldHeartbeat.worker;
+    if (worker.heartbeat() == heldHeartbeat.heartbeat
         && membership.permits(ControlAction.RENEW_LEASE, worker.shard())) {
-      List<WorkerCommand> commands = reconciler.reconcile(worker, released.heartbeat);
-      answers.accept(released.request, worker, commands, nowMicros);
+      List<WorkerCommand> commands = reconciler.reconcile(worker, heldHeartbeat.heartbeat);
+      answers.accept(heldHeartbeat.request, worker, commands, nowMicros);
     } else {
-      answers.refuse(released.request, HeartbeatAnswers.Refusal.OWNER_CHANGING);
+      answers.refuse(heldHeartbeat.request, HeartbeatAnswers.Refusal.OWNER_CHANGING);
     }
   }
 }
--- a/src/main/java/gladeknot/workers/MachineType.java
+++ b/src/main/java/gladeknot/workers/MachineType.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * A machine type as the cloud offers it.
+ * A machine type that the cloud offers.
  *
  * @param name the type's name
- * @param cpus thousandths of a CPU
- * @param gpus thousandths of a GPU
- * @param memory thousandths of a GB
- * @param cacheGb the size of the image cache
- * @param fetchGbPerS how fast images are fetched
- * @param price the price of an on-demand instance an hour
- * @param spotPrice the price of a spot instance an hour
- * @param readyMicros how long an instance takes to boot
- * @param zones the zones that have the type
+ * @param cpus CPUs of a machine, in thousandths
+ * @param gpus GPUs of a machine, in thousandths
+ * @param memory memory of a machine, in thousandths of a GB
+ * @param cacheGb size of the image cache, in GB
+ * @param fetchGbPerS rate at which images are fetched, in GB per second
+ * @param price price of an on-demand instance per hour
+ * @param spotPrice price of a spot instance per hour
+ * @param readyMicros time that an instance takes to boot, in microseconds
+ * @param zones zones that offer the type
  */
 public record MachineType(
     String name,
@@ -29,7 +29,7 @@
     long readyMicros,
     List<String> zones) {
 
-  /** How many tasks of a job an empty machine takes. */
+  /** Returns the number of tasks of a job that fit on an empty machine. */
   public int fits(JobSpec spec) {
     long tasks = Math.min(cpus / spec.cpus(), memory / spec.memory());
     if (spec.gpus() > 0) {
@@ -38,7 +38,7 @@
     return (int) Math.min(tasks, Integer.MAX_VALUE);
   }
 
-  /** The price of an instance an hour. */
+  /** Returns the price of an instance per hour. */
   public double price(boolean spot) {
     return spot ? spotPrice : price;
   }
--- a/src/main/java/gladeknot/workers/MalformedHeartbeatException.java
+++ b/src/main/java/gladeknot/workers/MalformedHeartbeatException.java
@@ -1,6 +1,6 @@
 package gladeknot.workers;
 
-/** A heartbeat that breaks the form; the message names the first field that is wrong. */
+/** Thrown for a malformed heartbeat. The message names the first malformed field. */
 public final class MalformedHeartbeatException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gladeknot/workers/RemoteHeartbeats.java
+++ b/src/main/java/gladeknot/workers/RemoteHeartbeats.java
@@ -7,14 +7,16 @@
 import java.util.Map;
 
 /**
- * Answers heartbeats of workers whose shard another controller owns: it redirects them to the
- * owner, and renews the leases of those that can't reach it, as the owner's delegate.
+ * Answers heartbeats of workers whose shard another controller owns. Workers are redirected to the
+ * owner. If a worker can't reach the owner, its lease is renewed here, as the owner's delegate.
  */
 final class RemoteHeartbeats {
-  /** A worker that returns so soon after a redirect has not reached its owner. */
-  private static final long RETURN_MICROS = 12_000_000;
+  /**
+   * Time after a redirect within which a returning worker is taken to be unable to reach the owner.
+   */
+  private static final long RETURN_WINDOW_MICROS = 12_000_000;
 
-  /** Handles a heartbeat from the start, as its shard was acquired meanwhile. */
+  /** Handles heartbeats whose shard was acquired while they waited for an answer. */
   interface Readmission {
     /** Handles a heartbeat as if it had just arrived. */
     void admit(long request, Heartbeat heartbeat);
@@ -26,7 +28,7 @@
   private final HeartbeatAnswers answers;
   private final Readmission readmission;
 
-  /** When each worker was last redirected, by its name. */
+  /** Time of each worker's last redirect, by the machine's name. */
   private final Map<String, Long> redirectedMicros = new HashMap<>();
 
   private long nextSweepMicros;
@@ -45,12 +47,12 @@
     this.readmission = readmission;
   }
 
-  /** Sets the time, and forgets redirects that are long ago. */
+  /** Sets the current time and forgets redirects that are older than the return window. */
   void tick(long now) {
     nowMicros = now;
     if (now >= nextSweepMicros) {
-      nextSweepMicros = now + RETURN_MICROS;
-      redirectedMicros.values().removeIf(at -> now - at > RETURN_MICROS);
+      nextSweepMicros = now + RETURN_WINDOW_MICROS;
+      redirectedMicros.values().removeIf(redirected -> now - redirected > RETURN_WINDOW_MICROS);
     }
   }
 
@@ -67,8 +69,9 @@
       answers.redirect(request, owner);
       return;
     }
-    // It was redirected to its owner and has returned: its lease is renewed here for a while, so
-    // that its tasks survive a restart, or a partition that leads to a failover.
+    // The worker was redirected to the owner and has returned. Its lease is renewed here for a
+    // while, so that its tasks survive a restart of the owner, or a partition that leads to a
+    // failover.
     if (membership.isDelegateFor(shard)) {
       answerAsDelegate(request, heartbeat, shard, term);
     } else {
@@ -84,18 +87,18 @@
     }
   }
 
-  /** Returns whether the worker was redirected a short while ago already. */
+  /** Records a redirect now. Returns whether the previous one is within the return window. */
   private boolean recordRedirect(String host) {
-    Long before = redirectedMicros.put(host, nowMicros);
-    return before != null && nowMicros - before < RETURN_MICROS;
+    Long previousMicros = redirectedMicros.put(host, nowMicros);
+    return previousMicros != null && nowMicros - previousMicros < RETURN_WINDOW_MICROS;
   }
 
   /**
-   * Renews a worker's lease in the owner's place. The read barrier comes after the heartbeat: if
-   * the shard has changed owners since the heartbeat was sent, that shows, and so does each
-   * cancellation committed by then. Tasks of finished jobs are killed, so that no delegation,
-   * however many follow one another, keeps a cancelled task beyond its time; other commands are the
-   * owner's alone.
+   * Renews a worker's lease on behalf of the owner. The read barrier comes after the heartbeat. The
+   * cache then shows any ownership transfer since the heartbeat was sent, and every cancellation
+   * committed by then. Tasks of finished jobs are killed. Otherwise a series of delegations could
+   * keep a cancelled task running beyond the time allowed for it. All other commands are left to
+   * the owner.
    */
   private void answerAsDelegate(long request, Heartbeat heartbeat, int shard, long term) {
     stateStore.readBarrier(
--- a/src/main/java/gladeknot/workers/RestartProbe.java
+++ b/src/main/java/gladeknot/workers/RestartProbe.java
@@ -7,14 +7,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells a delayed copy of a heartbeat from the heartbeat of a machine that has restarted and counts
- * from the beginning again: it requests the worker's status.
+ * Distinguishes a delayed or duplicate heartbeat from the heartbeat of a restarted machine, whose
+ * counters begin again. To do so, it requests the worker's status.
  */
 final class RestartProbe {
   private static final Logger LOG = LoggerFactory.getLogger(RestartProbe.class);
 
-  /** Between two probes of one worker, and the timeout of each. */
-  private static final long INTERVAL_MICROS = 2_000_000;
+  /** Minimum interval between two probes of a worker, and the timeout of each probe. */
+  private static final long PROBE_INTERVAL_MICROS = 2_000_000;
 
   private static final int OK = 200;
 
@@ -28,9 +28,12 @@
     this.reconciler = reconciler;
   }
 
-  /** Probes a worker at an address that a heartbeat names, unless it was probed just before. */
+  /**
+   * Probes a worker at the endpoint from its heartbeat, unless the worker was probed within the
+   * interval.
+   */
   void probe(Worker worker, String endpoint, long nowMicros) {
-    if (!worker.tryProbe(nowMicros, INTERVAL_MICROS)) {
+    if (!worker.tryProbe(nowMicros, PROBE_INTERVAL_MICROS)) {
       return;
     }
     Heartbeat last = worker.heartbeat();
@@ -39,7 +42,7 @@
         "GET",
         "/status",
         null,
-        INTERVAL_MICROS,
+        PROBE_INTERVAL_MICROS,
         reply -> {
           if (reply.status() == OK && worker.heartbeat() == last) {
             onStatus(worker, last, reply);
@@ -50,7 +53,7 @@
   private void onStatus(Worker worker, Heartbeat last, Outbox.Reply reply) {
     try {
       Heartbeat status = HeartbeatCodec.read(reply.object());
-      // The reply was sent after the last heartbeat. If it counts less, the counters have
+      // The reply was sent after the last heartbeat. If its counters are lower, they have
       // restarted.
       if (status.host().equals(worker.host())
           && last.isNewerThan(status.incarnation(), status.sequence())) {
--- a/src/main/java/gladeknot/workers/TaskPhase.java
+++ b/src/main/java/gladeknot/workers/TaskPhase.java
@@ -1,15 +1,15 @@
 package gladeknot.workers;
 
-/** What a task that a worker lists is doing. */
+/** Phase of a task that a worker lists. */
 public enum TaskPhase {
-  /** It waits for its image. */
+  /** The task waits for its image. */
   FETCHING,
-  /** A task of a gang that waits for the gang's other tasks. */
+  /** The task waits for the other tasks of its gang. */
   WAITING,
-  /** It runs. A phase that this version does not know counts as this one. */
+  /** The task runs. A phase that this version does not know is read as this one. */
   RUNNING,
-  /** It was stopped and saves its progress. */
+  /** The task was stopped and saves its progress. */
   SAVING,
-  /** It has exited; the {@link EndCause} says why. */
+  /** The task has exited; {@link EndCause} is the reason. */
   ENDED
 }
--- a/src/main/java/gladeknot/workers/Worker.java
+++ b/src/main/java/gladeknot/workers/Worker.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * A rented machine with the worker on it: its stored record, the attempts assigned to it, and for
- * machines of this controller's shards what their heartbeats tell. Times are microseconds of the
- * steady clock unless a name says otherwise.
+ * A rented machine and the worker on it: the stored record, the attempts assigned to the machine
+ * and, for machines of this controller's shards, the state known from heartbeats. Times are
+ * microseconds of the steady clock unless a name says otherwise.
  */
 public final class Worker {
   private static final WorkerRecord UNREGISTERED = new WorkerRecord(0, "", "", false, 0, false);
@@ -17,7 +17,7 @@
   private WorkerRecord record = UNREGISTERED;
   private boolean registered;
 
-  /** Where it listens, by the cloud's list. */
+  /** Endpoint of the worker according to the cloud's list of instances. */
   private String listedEndpoint;
 
   private WorkerSession session = new WorkerSession();
@@ -25,7 +25,7 @@
   private final ImageCache imageCache = new ImageCache();
   private final WorkerFailures failures = new WorkerFailures();
 
-  /** Attempts by task name, for all shards as far as the cached state tells. */
+  /** Attempts of all shards by task name, according to the cache. */
   private final Map<String, Attempt> attempts = new LinkedHashMap<>();
 
   private long probedMicros = WorkerSession.NEVER;
@@ -37,20 +37,20 @@
     this.host = host;
   }
 
-  /** The machine's name. */
+  /** Returns the machine's name. */
   public String host() {
     return host;
   }
 
   // The stored record.
 
-  /** The state store has a record of the machine. */
+  /** Applies the machine's record in the state store. */
   void onRegistered(WorkerRecord stored) {
     record = stored;
     registered = true;
   }
 
-  /** Its record was deleted, and with it the machine. */
+  /** Handles the deletion of the machine's record, which means that the machine is gone. */
   void onDeregistered() {
     record =
         new WorkerRecord(
@@ -63,12 +63,12 @@
     registered = false;
   }
 
-  /** Its stored form as the cached state has it; null if the state store does not have it. */
+  /** Returns the stored form of the machine's record in the cache; null if there is none. */
   public String record() {
     return registered ? record(record.shard(), record.terminating()) : null;
   }
 
-  /** The stored form for a machine in another shard, or whose release has been decided. */
+  /** Returns the stored form of the record with the given shard and terminating flag. */
   public String record(int inShard, boolean isTerminating) {
     return WorkerRecordCodec.encode(
         new WorkerRecord(
@@ -80,89 +80,92 @@
             isTerminating));
   }
 
-  /** Whether it is registered, and neither released nor reclaimed by the cloud soon. */
+  /**
+   * Returns whether the machine is registered, and neither being released nor about to be reclaimed
+   * by the cloud.
+   */
   public boolean isExpectedToStay() {
     return registered() && !terminating() && reclaimAtMicros() == 0;
   }
 
-  /** Whether the state store has it. */
+  /** Returns whether the state store has a record of the machine. */
   public boolean registered() {
     return registered;
   }
 
-  /** The shard that it belongs to. */
+  /** Returns the shard that the machine belongs to. */
   public int shard() {
     return record.shard();
   }
 
-  /** The name of its machine type; empty if it was never registered. */
+  /** Returns the name of the machine's type; empty if the machine was never registered. */
   public String type() {
     return record.type();
   }
 
-  /** The zone that it is in; empty if it was never registered. */
+  /** Returns the machine's zone; empty if the machine was never registered. */
   public String zone() {
     return record.zone();
   }
 
-  /** Whether it is a spot instance. */
+  /** Returns whether the machine is a spot instance. */
   public boolean spot() {
     return record.spot();
   }
 
-  /** The time of day at which it was registered. */
+  /** Returns the time of day at which the machine was registered. */
   public long launchedWallMicros() {
     return record.launchedWallMicros();
   }
 
-  /** Whether its release has been decided. */
+  /** Returns whether the machine's release has been decided. */
   public boolean terminating() {
     return record.terminating();
   }
 
   // The session.
 
-  /** Records a heartbeat that is newer than those before it. */
+  /** Records a heartbeat that is newer than all earlier ones. */
   void onHeartbeat(Heartbeat newest, long nowMicros) {
     session.onHeartbeat(newest, nowMicros);
   }
 
-  /** Records an answer that renews its lease if it arrives. */
+  /** Records an answer, which renews the worker's lease if it arrives. */
   void onAnswered(long nowMicros, long term) {
     session.onAnswered(nowMicros, term);
   }
 
-  /** It has restarted without the tasks that were on it. */
+  /** Records that the worker has restarted without the tasks that were on it. */
   void onRestart() {
     session.onRestart();
   }
 
-  /** Forgets the session, as when its shard was acquired from another controller. */
+  /** Discards the session, for example when the shard was acquired from another controller. */
   void resetSession() {
     session = new WorkerSession();
   }
 
-  /** Its newest heartbeat; null if none has arrived in this session. */
+  /** Returns the newest heartbeat; null if none has arrived in this session. */
   public Heartbeat heartbeat() {
     return session.heartbeat();
   }
 
-  /** When its newest heartbeat arrived; 0 if none has in this session. */
+  /** Returns the arrival time of the newest heartbeat; 0 if none has arrived in this session. */
   public long heartbeatMicros() {
     return session.heartbeatMicros();
   }
 
   /**
-   * When the newest answer that may have renewed its lease was sent; long before any time if there
-   * is none.
+   * Returns the time of the newest answer that may have renewed the worker's lease; a time long
+   * before all others if there is none.
    */
   public long answeredMicros() {
     return session.answeredMicros();
   }
 
   /**
-   * When a run command can next be sent to it: these are part of answers only, and a heartbeat that
-   * is held as a long poll has still to be answered.
+   * Returns the time at which a run command can next be sent to the worker. Run commands are sent
+   * only in answers to heartbeats. A heartbeat that is held as a long poll is still to be answered.
    */
   public long nextAnswerMicros(long heartbeatIntervalMicros) {
     long heartbeatMicros = session.heartbeatMicros();
@@ -171,23 +174,31 @@
         : heartbeatMicros + heartbeatIntervalMicros;
   }
 
-  /** When the cloud takes it back; 0 if it has given no notice. */
+  /**
+   * Returns the time at which the cloud reclaims the machine; 0 if the cloud has given no notice.
+   */
   public long reclaimAtMicros() {
     return session.reclaimAtMicros();
   }
 
-  /** Where commands reach it, as host:port; null if that is not known. */
+  /** Returns the endpoint for direct commands, as host:port; null if it is not known. */
   public String endpoint() {
     Heartbeat heartbeat = session.heartbeat();
     return heartbeat != null ? heartbeat.endpoint() : listedEndpoint;
   }
 
-  /** Records where it listens by the cloud's list, which counts until it sends a heartbeat. */
+  /**
+   * Sets the endpoint from the cloud's list of instances, which is used until the worker sends a
+   * heartbeat.
+   */
   public void setListedEndpoint(String endpoint) {
     listedEndpoint = endpoint;
   }
 
-  /** Whether it may be probed now, not sooner than an interval after the last probe. */
+  /**
+   * Returns whether the worker may be probed now, at least an interval after the last probe, and
+   * records the probe if so.
+   */
   boolean tryProbe(long nowMicros, long intervalMicros) {
     if (nowMicros < probedMicros + intervalMicros) {
       return false;
@@ -198,122 +209,136 @@
 
   // Reachability.
 
-  /** Records that answers don't reach it: nothing is started on it until one does. */
+  /** Records that answers don't reach the worker. No task is started on it until an answer does. */
   public void markUnreachable(long nowMicros) {
     reachability.markUnreachable(session.heartbeat().incarnation(), nowMicros);
   }
 
-  /** Records that a command was carried out. */
+  /** Records that the worker has carried out a command, which proves that it is reachable. */
   public void markReachable() {
     reachability.markReachable();
   }
 
-  /** Judges by its newest heartbeat whether answers reach it after all. */
+  /** Determines from the newest heartbeat whether answers reach the worker after all. */
   public void updateReachability(long nowMicros, long leaseMicros) {
     reachability.update(session.heartbeat().incarnation(), nowMicros, leaseMicros);
   }
 
-  /** Whether answers don't reach it, as it seems. */
+  /** Returns whether answers seem not to reach the worker. */
   public boolean unreachable() {
     return reachability.unreachable();
   }
 
-  /** Whether an incarnation has ended although its heartbeats were answered. */
+  /**
+   * Returns whether an incarnation has ended although its heartbeats were answered, which confirms
+   * that answers don't reach the worker.
+   */
   public boolean confirmedUnreachable() {
     return reachability.confirmed();
   }
 
   // Images.
 
-  /** Records an image that it uses, and evicts those used longest ago if they don't fit. */
+  /**
+   * Records the use of an image, and evicts the least recently used images until the others fit.
+   */
   public void cacheImage(String image, double imageGb, double cacheGb) {
     imageCache.use(image, imageGb, cacheGb);
   }
 
-  /** Whether it has an image, as far as that is known. */
+  /** Returns whether the machine is known to have an image. */
   public boolean hasImage(String image) {
     return imageCache.contains(image);
   }
 
-  /** The images that it has, the one used most recently last. */
+  /** Returns the images on the machine, the most recently used image last. */
   public Collection<String> cachedImages() {
     return imageCache.images();
   }
 
   // Failures.
 
-  /** Tasks that failed on it in a row; failures of more than one job count twice. */
+  /**
+   * Returns the number of consecutive task failures on the machine. A failure counts twice if the
+   * previous failure was of another job.
+   */
   public int consecutiveFailures() {
     return failures.consecutiveFailures();
   }
 
-  /** A task has completed on it. */
+  /** Resets the number of consecutive failures, after a task has completed on the machine. */
   public void resetFailures() {
     failures.resetFailures();
   }
 
-  /** Counts a task that failed on it; returns {@link #consecutiveFailures}. */
+  /** Counts a task failure on the machine and returns {@link #consecutiveFailures}. */
   public int countFailure(String job) {
     return failures.countFailure(job);
   }
 
-  /** No task is started on it before this time. */
+  /** Returns the time before which no task is started on the machine. */
   public long quarantinedUntilMicros() {
     return failures.quarantinedUntilMicros();
   }
 
-  /** Lets no task start on it before a time. */
+  /** Prevents starts on the machine before a time. */
   public void quarantineUntil(long micros) {
     failures.quarantineUntil(micros);
   }
 
   // Scale-in.
 
-  /** Since when no task is on it; 0 while one is, or if that is not known. */
+  /**
+   * Returns the time since which no task is on the machine; 0 while one is, or if the time is not
+   * known.
+   */
   public long idleSinceMicros() {
     return idleSinceMicros;
   }
 
-  /** No task is on it, from now on unless that was so already. */
+  /** Records that no task is on the machine. If it was idle before, the earlier time stays. */
   public void markIdle(long nowMicros) {
     if (idleSinceMicros == 0) {
       idleSinceMicros = nowMicros;
     }
   }
 
-  /** A task is on it. */
+  /** Records that a task is on the machine. */
   public void markBusy() {
     idleSinceMicros = 0;
   }
 
-  /** Whether the demand that is forecast fits on the other machines. */
+  /** Returns whether the forecast demand fits on the other machines. */
   public boolean surplus() {
     return surplus;
   }
 
-  /** Says whether the demand that is forecast fits on the other machines. */
+  /** Sets whether the forecast demand fits on the other machines. */
   public void setSurplus(boolean isSurplus) {
     surplus = isSurplus;
   }
 
-  /** Whether its release, or its transfer to another shard, is under way. */
+  /** Returns whether the machine's release, or its transfer to another shard, is in progress. */
   public boolean releasing() {
     return releasing;
   }
 
-  /** Says whether its release, or its transfer to another shard, is under way. */
+  /** Sets whether the machine's release, or its transfer to another shard, is in progress. */
   public void setReleasing(boolean isReleasing) {
     releasing = isReleasing;
   }
 
   // Attempts.
 
-  /** The attempts assigned to it, by task name; only {@link WorkerRegistry} adds and removes. */
+  /**
+   * Returns the attempts assigned to the machine, by task name. Only {@link WorkerRegistry} adds
+   * and removes attempts.
+   */
   public Map<String, Attempt> attempts() {
     return attempts;
   }
 
-  /** Whether a start that was decided for it waits to be committed. */
+  /** Returns whether a start on the machine has been decided and waits to be committed. */
   boolean hasUncommittedStarts() {
     for (Attempt attempt : attempts.values()) {
       if (!attempt.closed() && !attempt.committed()) {
@@ -323,7 +348,10 @@
     return false;
   }
 
-  /** Whether a committed start has not been sent or not been taken up, or a kill is wanted. */
+  /**
+   * Returns whether a committed start has not been sent or not been taken up, or a kill is
+   * requested.
+   */
   boolean hasCommandsToSend() {
     for (Attempt attempt : attempts.values()) {
       if (!attempt.closed()
--- a/src/main/java/gladeknot/workers/WorkerCommand.java
+++ b/src/main/java/gladeknot/workers/WorkerCommand.java
@@ -1,24 +1,24 @@
 package gladeknot.workers;
 
-/** A command to a worker about one attempt; {@link CommandCodec} writes it. */
+/** A command to a worker about one attempt, encoded by {@link CommandCodec}. */
 public sealed interface WorkerCommand {
-  /** The task's name: job, slash, number. */
+  /** Returns the task's name: job, slash, number. */
   String task();
 
-  /** The attempt number. */
+  /** Returns the attempt number. */
   long attempt();
 
-  /** Starts an attempt; without effect if the worker has it already. */
+  /** Starts an attempt. Has no effect if the worker already has the attempt. */
   record Run(String task, long attempt) implements WorkerCommand {}
 
   /**
    * Stops an attempt.
    *
-   * @param graceSeconds the time that it has to save its progress; it saves nothing if that is less
-   *     than its job needs for it
+   * @param graceSeconds grace period in which the task may save its progress; the task saves
+   *     nothing if its job needs more time
    */
   record Kill(String task, long attempt, double graceSeconds) implements WorkerCommand {
-    /** Stops an attempt at once, without saving its progress. */
+    /** Returns a command that stops an attempt at once, without saving its progress. */
     public static Kill immediately(String task, long attempt) {
       return new Kill(task, attempt, 0);
     }
--- a/src/main/java/gladeknot/workers/WorkerFailures.java
+++ b/src/main/java/gladeknot/workers/WorkerFailures.java
@@ -1,16 +1,16 @@
 package gladeknot.workers;
 
-/** Failures of tasks on a machine, and until when it is quarantined for them. */
+/** Task failures on a machine, and the end of the quarantine that they cause. */
 final class WorkerFailures {
   private int consecutiveFailures;
   private String lastFailedJob = "";
   private long quarantinedUntilMicros;
 
-  /** Counts a failed task; returns {@link #consecutiveFailures}. */
+  /** Counts a task failure and returns {@link #consecutiveFailures}. */
   int countFailure(String job) {
     consecutiveFailures++;
     if (!lastFailedJob.equals(job) && consecutiveFailures > 1) {
-      // Failures of more than one job in a row indicate that the machine is at fault.
+      // Consecutive failures of more than one job indicate that the machine is at fault.
       consecutiveFailures++;
     }
     lastFailedJob = job;
@@ -21,7 +21,10 @@
     consecutiveFailures = 0;
   }
 
-  /** Tasks that failed since the last success; those of a job other than the one before twice. */
+  /**
+   * Returns the number of task failures since the last success. A failure counts twice if the
+   * previous failure was of another job.
+   */
   int consecutiveFailures() {
     return consecutiveFailures;
   }
--- a/src/main/java/gladeknot/workers/WorkerReachability.java
+++ b/src/main/java/gladeknot/workers/WorkerReachability.java
@@ -1,13 +1,13 @@
 package gladeknot.workers;
 
-/** Whether a worker whose heartbeats arrive gets the answers to them. */
+/** Reachability of a worker whose heartbeats arrive: whether it receives the answers. */
 final class WorkerReachability {
   private boolean unreachable;
   private boolean confirmed;
   private long sinceMicros;
   private long incarnation;
 
-  /** Records that the answers to an incarnation's heartbeats don't arrive, as it seems. */
+  /** Records that the answers to an incarnation's heartbeats seem not to arrive. */
   void markUnreachable(long ofIncarnation, long nowMicros) {
     if (!unreachable) {
       unreachable = true;
@@ -16,16 +16,16 @@
     }
   }
 
-  /** Records that a command was carried out. */
+  /** Records that answers arrive, for example because the worker has carried out a command. */
   void markReachable() {
     unreachable = false;
     confirmed = false;
   }
 
   /**
-   * Judges the worker by the incarnation of its newest heartbeat. One that lasts longer than a
-   * lease has been answered, so that some answers were only late; one that has ended meanwhile has
-   * not.
+   * Updates the state from the incarnation of the newest heartbeat. An incarnation that lasts
+   * longer than a lease has received answers, so the missing ones were only late. An incarnation
+   * that has ended in the meantime has not received them.
    */
   void update(long newestIncarnation, long nowMicros, long leaseMicros) {
     if (!unreachable) {
@@ -42,7 +42,7 @@
     return unreachable;
   }
 
-  /** Whether an incarnation has ended although its heartbeats were answered. */
+  /** Returns whether an incarnation has ended although its heartbeats were answered. */
   boolean confirmed() {
     return confirmed;
   }
--- a/src/main/java/gladeknot/workers/WorkerRecord.java
+++ b/src/main/java/gladeknot/workers/WorkerRecord.java
@@ -1,14 +1,15 @@
 package gladeknot.workers;
 
 /**
- * What the state store holds for a rented machine; {@link WorkerRecordCodec} reads and writes it.
+ * The record of a rented machine in the state store, encoded and decoded by {@link
+ * WorkerRecordCodec}.
  *
  * @param shard the shard that the machine belongs to
- * @param type the name of its machine type
- * @param zone the zone that it is in
- * @param spot whether it is a spot instance
- * @param launchedWallMicros the time of day at which it was registered, in microseconds
- * @param terminating whether its release has been decided
+ * @param type the name of the machine's type
+ * @param zone the machine's zone
+ * @param spot whether the machine is a spot instance
+ * @param launchedWallMicros the time of day at which the machine was registered, in microseconds
+ * @param terminating whether the machine's release has been decided
  */
 public record WorkerRecord(
     int shard,
--- a/src/main/java/gladeknot/workers/WorkerRecordCodec.java
+++ b/src/main/java/gladeknot/workers/WorkerRecordCodec.java
@@ -3,16 +3,16 @@
 import gladeknot.state.StateStore;
 
 /**
- * Where the state store holds machines, and in which form: {@code
- * shard|type|zone|s-or-o|launched|x-or-nothing}. Neighbouring versions read each other's records.
+ * Keys and stored form of machine records. The stored form is {@code
+ * shard|type|zone|s-or-o|launched|x-or-nothing}. Adjacent versions read each other's records.
  */
 public final class WorkerRecordCodec {
-  /** What the keys of all machines begin with. */
+  /** Prefix of the keys of all machine records. */
   public static final String KEY_PREFIX = StateStore.ROOT + "w/";
 
   /**
-   * Stored for a machine that was released: its name is never assigned again, but late messages in
-   * its name may still arrive.
+   * Value stored for a released machine. The machine's name is never assigned again, but delayed
+   * messages from the machine may still arrive.
    */
   public static final String RELEASED = "-";
 
@@ -26,25 +26,25 @@
   private WorkerRecordCodec() {}
 
   /**
-   * The key that holds a machine. Machines whose names differ in the last character alone share a
-   * key, so that a scale-out, which assigns consecutive names, takes few writes. The key does not
-   * depend on the shard, so that no two shards can both register a machine.
+   * Returns the key that holds a machine's record. Machines whose names differ only in the last
+   * character share a key. A scale-out, which assigns consecutive names, therefore takes few
+   * writes. The key does not depend on the shard, so that two shards can't both register a machine.
    */
   public static String key(String host) {
     return KEY_PREFIX + host.substring(0, host.length() - 1) + KEY_SUFFIX;
   }
 
-  /** The field of {@link #key} that holds a machine. */
+  /** Returns the field of {@link #key} that holds a machine's record. */
   public static String field(String host) {
     return host.substring(host.length() - 1);
   }
 
-  /** The machine that a field of a key holds. */
+  /** Returns the name of the machine whose record a field of a key holds. */
   static String host(String key, String field) {
     return key.substring(KEY_PREFIX.length(), key.length() - KEY_SUFFIX.length()) + field;
   }
 
-  /** The stored form of a record. */
+  /** Returns the stored form of a record. */
   public static String encode(WorkerRecord worker) {
     return worker.shard()
         + SEPARATOR
@@ -59,7 +59,7 @@
         + (worker.terminating() ? TERMINATING : "");
   }
 
-  /** Reads a record in its stored form, which must not be {@link #RELEASED}. */
+  /** Decodes a record from its stored form, which must not be {@link #RELEASED}. */
   static WorkerRecord decode(String stored) {
     String[] parts = stored.split(SEPARATOR_PATTERN, -1);
     return new WorkerRecord(
--- a/src/main/java/gladeknot/workers/WorkerRegistry.java
+++ b/src/main/java/gladeknot/workers/WorkerRegistry.java
@@ -11,44 +11,45 @@
 import java.util.Set;
 
 /**
- * All machines by name: those that the state store has, and those that attempts are assigned to.
+ * All known machines by name: machines with a record in the state store, and machines to which
+ * attempts are assigned.
  */
 public final class WorkerRegistry implements HostDirectory {
   private final Map<String, Worker> workers = new LinkedHashMap<>();
   private final Map<Integer, Map<String, Worker>> byShard = new HashMap<>();
   private final Set<String> released = new HashSet<>();
 
-  /** The worker on a machine; null if it is not known. */
+  /** Returns the worker on a machine; null if the machine is not known. */
   public Worker get(String host) {
     return workers.get(host);
   }
 
-  /** All machines, in the order in which they became known; a view. */
+  /** Returns a view of all machines, in the order in which they became known. */
   public Collection<Worker> all() {
     return workers.values();
   }
 
-  /** The machines of a shard that the state store has; a view. */
+  /** Returns a view of the machines of a shard that have a record in the state store. */
   public Collection<Worker> inShard(int shard) {
     return byShard.getOrDefault(shard, Map.of()).values();
   }
 
-  /** Whether a machine was released: what still arrives in its name was delayed. */
+  /** Returns whether a machine was released. Messages that still arrive from it were delayed. */
   public boolean wasReleased(String host) {
     return released.contains(host);
   }
 
-  /** Follows a change of a key that holds machines. */
+  /** Applies a change of a key that holds machine records. */
   public void onChange(String key, Entry before, Entry now) {
-    Map<String, Object> old = before == null ? Map.of() : before.data();
+    Map<String, Object> oldData = before == null ? Map.of() : before.data();
     Map<String, Object> data = now == null ? Map.of() : now.data();
     data.forEach(
         (field, record) -> {
-          if (!record.equals(old.get(field))) {
+          if (!record.equals(oldData.get(field))) {
             onRecord(WorkerRecordCodec.host(key, field), (String) record);
           }
         });
-    for (String field : old.keySet()) {
+    for (String field : oldData.keySet()) {
       if (!data.containsKey(field)) {
         onDeregistered(WorkerRecordCodec.host(key, field));
       }
@@ -67,9 +68,9 @@
   private void onRegistered(String host, WorkerRecord record) {
     Worker worker = workers.computeIfAbsent(host, Worker::new);
     int shardBefore = worker.shard();
-    boolean known = worker.registered();
+    boolean wasRegistered = worker.registered();
     worker.onRegistered(record);
-    if (known && shardBefore != worker.shard()) {
+    if (wasRegistered && shardBefore != worker.shard()) {
       worker.resetSession();
       byShard.get(shardBefore).remove(host);
     }
@@ -113,7 +114,7 @@
     }
   }
 
-  /** Forgets the sessions of a shard's workers, as the shard was released. */
+  /** Discards the sessions of a shard's workers after the shard was released. */
   public void resetSessions(int shard) {
     inShard(shard).forEach(Worker::resetSession);
   }
--- a/src/main/java/gladeknot/workers/WorkerSession.java
+++ b/src/main/java/gladeknot/workers/WorkerSession.java
@@ -1,12 +1,15 @@
 package gladeknot.workers;
 
 /**
- * What this controller and a worker have exchanged since its shard was acquired: the newest
+ * Messages exchanged with a worker since this controller acquired the worker's shard: the newest
  * heartbeat, and the answers that renewed the worker's lease. Times are microseconds of the steady
  * clock.
  */
 final class WorkerSession {
-  /** Before any time, yet far enough from the least number to be subtracted from another. */
+  /**
+   * A time before all others. It is not {@code Long.MIN_VALUE}, so that subtracting it from another
+   * time does not overflow.
+   */
   static final long NEVER = Long.MIN_VALUE / 2;
 
   private static final double MICROS_PER_SECOND = 1e6;
@@ -16,18 +19,19 @@
   private long heartbeatMicros;
   private long answeredMicros = NEVER;
 
-  /** The term of the newest answer. */
+  /** Term of the newest answer. */
   private long answeredTerm;
 
-  /** The answer before the newest that may have arrived. */
+  /** Time of the newest answer that may have arrived, other than the last answer sent. */
   private long previousAnsweredMicros = NEVER;
 
   private long reclaimAtMicros;
 
-  /** Records a heartbeat that is newer than those before it. */
+  /** Records a heartbeat that is newer than all earlier ones. */
   void onHeartbeat(Heartbeat newest, long nowMicros) {
     if (newest.fencingToken() < answeredTerm) {
-      // It has not seen the token of the newest answer: that was lost, and renewed no lease.
+      // The worker has not seen the token of the newest answer. The answer was lost and renewed no
+      // lease.
       answeredMicros = previousAnsweredMicros;
       answeredTerm = UNKNOWN_TERM;
     }
@@ -39,7 +43,7 @@
             : nowMicros + (long) (newest.reclaimInSeconds().getAsDouble() * MICROS_PER_SECOND);
   }
 
-  /** Records an answer that renews the worker's lease if it arrives. */
+  /** Records an answer, which renews the worker's lease if it arrives. */
   void onAnswered(long nowMicros, long term) {
     if (answeredTerm == UNKNOWN_TERM || heartbeat.fencingToken() >= answeredTerm) {
       previousAnsweredMicros = answeredMicros;
@@ -48,28 +52,35 @@
     answeredMicros = nowMicros;
   }
 
-  /** The machine has restarted: earlier heartbeats don't count for the order of later ones. */
+  /**
+   * Records that the machine has restarted. Earlier heartbeats no longer count for the order of
+   * later ones.
+   */
   void onRestart() {
     heartbeat = null;
     answeredTerm = UNKNOWN_TERM;
   }
 
-  /** The newest heartbeat; null if there is none. */
+  /** Returns the newest heartbeat; null if there is none. */
   Heartbeat heartbeat() {
     return heartbeat;
   }
 
-  /** When the newest heartbeat arrived; 0 if none did. */
+  /** Returns the arrival time of the newest heartbeat; 0 if none has arrived. */
   long heartbeatMicros() {
     return heartbeatMicros;
   }
 
-  /** When the newest answer that may have arrived was sent; {@link #NEVER} if there is none. */
+  /**
+   * Returns the time of the newest answer that may have arrived; {@link #NEVER} if there is none.
+   */
   long answeredMicros() {
     return answeredMicros;
   }
 
-  /** When the cloud takes the machine back; 0 if it has given no notice. */
+  /**
+   * Returns the time at which the cloud reclaims the machine; 0 if the cloud has given no notice.
+   */
   long reclaimAtMicros() {
     return reclaimAtMicros;
   }
