--- a/src/main/java/gladeknot/jobs/DependencyGraph.java
+++ b/src/main/java/gladeknot/jobs/DependencyGraph.java
@@ -12,11 +12,11 @@
 import java.util.function.Function;
 
 /**
- * Which jobs are held by which dependencies.
+ * Graph of the held jobs and the dependencies that hold them.
  *
- * <p>It is kept up to date change by change: each held job knows its open dependencies, and each
- * dependency its dependents. The end of a job therefore costs as much as it has dependents, and a
- * cancellation as much as jobs are cancelled by it.
+ * <p>The graph is updated incrementally. It maps each held job to its open dependencies, and each
+ * dependency to its dependents. The cost of a job's end is therefore proportional to the number of
+ * its dependents, and the cost of a cancellation to the number of jobs that it cancels.
  */
 final class DependencyGraph {
   /** A job that is held until its open dependencies are done. */
@@ -29,7 +29,7 @@
     }
   }
 
-  /** Finished jobs by id; null for those that are not. */
+  /** Lookup of finished jobs by id; returns null for a job that is not finished. */
   private final Function<String, Job> finishedJobs;
 
   private final Map<String, HeldJob> heldJobs = new LinkedHashMap<>();
@@ -40,34 +40,40 @@
     this.finishedJobs = finishedJobs;
   }
 
-  /** The jobs that are held, the one that is held for longest first. */
+  /** Returns the held jobs, the one held for the longest time first. */
   Collection<Job> held() {
     return heldJobs.values().stream().map(heldJob -> heldJob.job).toList();
   }
 
-  /** A held job; null if it isn't held. */
+  /** Returns a held job; null if the job isn't held. */
   Job held(String id) {
     HeldJob heldJob = heldJobs.get(id);
     return heldJob == null ? null : heldJob.job;
   }
 
-  /** The dependencies of a job that are not done yet; empty if it isn't held. */
+  /** Returns the dependencies of a job that are not done yet; empty if the job isn't held. */
   Collection<String> openDependencies(String id) {
     HeldJob heldJob = heldJobs.get(id);
     return heldJob == null ? List.of() : heldJob.openDependencies;
   }
 
-  /** Jobs that are cancelled with one of their dependencies, without a final record yet. */
+  /** Returns the jobs that are cancelled because of a dependency and have no final record yet. */
   List<Job> cancelled() {
     return List.copyOf(cancelled.values());
   }
 
-  /** A job that is cancelled with one of its dependencies; null if it isn't. */
+  /**
+   * Returns a job that is cancelled because of a dependency and has no final record yet; null if
+   * there is no such job.
+   */
   Job cancelled(String id) {
     return cancelled.get(id);
   }
 
-  /** Adds an accepted job. If nothing holds it, it is added to {@code released}. */
+  /**
+   * Adds an accepted job: it is held by its open dependencies, cancelled because of a cancelled
+   * one, or added to {@code released} if no dependency holds it.
+   */
   void add(Job job, List<Job> released) {
     HeldJob heldJob = new HeldJob(job);
     boolean dependencyCancelled = false;
@@ -98,7 +104,7 @@
     }
   }
 
-  /** Forgets a job as a dependent, before its changed record is added. */
+  /** Removes a job as a dependent, before its changed record is added. */
   void remove(String id) {
     cancelled.remove(id);
     HeldJob heldJob = heldJobs.remove(id);
@@ -114,7 +120,10 @@
     }
   }
 
-  /** A job is finished. Dependents that nothing else holds are added to {@code released}. */
+  /**
+   * Handles the end of a job. If the job is done, dependents that no other dependency holds are
+   * added to {@code released}. If it was cancelled, its dependents are cancelled too.
+   */
   void onFinished(String id, List<Job> released) {
     Job finished = finishedJobs.apply(id);
     if (finished.phase() == Job.Phase.CANCELLED) {
@@ -133,16 +142,16 @@
     dependents.remove(id);
   }
 
-  /** Cancels a job and all that depend on it, directly or through others. */
+  /** Cancels a job and all of its direct and indirect dependents. */
   private void cancel(Job job) {
     remove(job.id());
     cancelled.put(job.id(), job.asCancelled());
     cancelDependents(job.id());
   }
 
-  private void cancelDependents(String first) {
+  private void cancelDependents(String jobId) {
     ArrayDeque<String> pending = new ArrayDeque<>();
-    pending.add(first);
+    pending.add(jobId);
     while (!pending.isEmpty()) {
       for (String dependent : dependentsOf(pending.poll())) {
         Job job = heldJobs.get(dependent).job;
@@ -158,12 +167,12 @@
   }
 
   /**
-   * The dependent, ready no earlier than its dependency was done. A done job whose record does not
-   * say when it ended was over before anything could depend on it.
+   * Returns the dependent with a ready time no earlier than the end of its dependency. A done job
+   * whose record contains no end time ended before jobs could have dependencies.
    */
-  private static Job readyAfter(Job dependent, Job done) {
-    return done.endMicros() > dependent.readyMicros()
-        ? dependent.readyAt(done.endMicros())
+  private static Job readyAfter(Job dependent, Job dependency) {
+    return dependency.endMicros() > dependent.readyMicros()
+        ? dependent.readyAt(dependency.endMicros())
         : dependent;
   }
 }
--- a/src/main/java/gladeknot/jobs/JobAnswers.java
+++ b/src/main/java/gladeknot/jobs/JobAnswers.java
@@ -4,7 +4,9 @@
 import gladeknot.outbox.Outbox;
 import java.util.Map;
 
-/** Writes the answers to users' requests: status, the protocol's words, and when to retry. */
+/**
+ * Sends the answers to users' requests, with HTTP status, the protocol's terms and retry delays.
+ */
 final class JobAnswers {
   static final String STATE_STORE_UNREACHABLE = "the state service does not answer";
 
@@ -17,7 +19,7 @@
   private static final int UNAVAILABLE = 503;
 
   private static final int RETRY_AFTER_SECONDS = 1;
-  private static final int RETRY_WHEN_QUEUE_FULL_SECONDS = 3;
+  private static final int RETRY_AFTER_QUEUE_FULL_SECONDS = 3;
 
   private static final String ID = "id";
   private static final String PHASE = "phase";
@@ -37,14 +39,16 @@
   }
 
   /**
-   * A submission is committed; {@code finished} is the job if it is over from the start, or null.
+   * Answers a committed submission. {@code finished} is the job if it is finished already, else
+   * null.
    */
   void accepted(long request, String id, Job finished) {
     outbox.answer(request, CREATED, Json.of(ID, id, PHASE, phaseAfterCommit(finished)));
   }
 
   /**
-   * A cancellation is committed; {@code finished} is the job as cancelled, null if not seen yet.
+   * Answers a committed cancellation. {@code finished} is the cancelled job; null if the cache does
+   * not show the cancellation yet.
    */
   void cancelled(long request, String id, Job finished) {
     outbox.answer(request, OK, Json.of(ID, id, PHASE, phaseAfterCommit(finished)));
@@ -54,12 +58,12 @@
     return finished == null ? PHASE_QUEUED : finalPhase(finished);
   }
 
-  /** The final phase of a job that is over. */
+  /** Answers with the final phase of a finished job. */
   void finalPhase(long request, Job finished) {
     outbox.answer(request, OK, Json.of(ID, finished.id(), PHASE, finalPhase(finished)));
   }
 
-  /** The final phase of a job that is over, and how many of its tasks are done. */
+  /** Answers with the final phase of a finished job and the number of its done tasks. */
   void finalState(long request, Job finished) {
     Map<String, Object> answer = Json.of(ID, finished.id(), PHASE, finalPhase(finished));
     answer.put(DONE, finished.phase() == Job.Phase.DONE ? finished.tasks() : 0);
@@ -67,7 +71,7 @@
     outbox.answer(request, OK, answer);
   }
 
-  /** The state of a job that is not over; it is queued while none of its tasks runs. */
+  /** Answers with the state of an unfinished job, which is queued while none of its tasks runs. */
   void state(long request, String id, int doneTasks, int runningTasks) {
     String phase = runningTasks > 0 ? PHASE_RUNNING : PHASE_QUEUED;
     outbox.answer(
@@ -78,12 +82,12 @@
     return finished.phase() == Job.Phase.DONE ? PHASE_DONE : PHASE_CANCELLED;
   }
 
-  /** There is no job with the id that was asked for. */
+  /** Answers that there is no job with the requested id. */
   void noSuchJob(long request) {
     error(request, NOT_FOUND, "no such job");
   }
 
-  /** A submission is rejected for good. */
+  /** Rejects a submission permanently. */
   void rejected(long request, SubmissionOutcome.Rejected rejected) {
     int status =
         switch (rejected.cause()) {
@@ -93,15 +97,21 @@
     error(request, status, rejected.reason());
   }
 
-  /** The request can't be answered now, and should be repeated soon. */
+  /** Answers that the request can't be handled now and should be repeated soon. */
   void retryLater(long request, String reason) {
     outbox.retryLater(request, UNAVAILABLE, reason, RETRY_AFTER_SECONDS);
   }
 
-  /** Too many requests wait for a commit; this one should be repeated later. */
+  /**
+   * Answers that too many requests wait for a commit and that this request should be repeated
+   * later.
+   */
   void queueFull(long request) {
     outbox.retryLater(
-        request, TOO_MANY_REQUESTS, "too many requests are waiting", RETRY_WHEN_QUEUE_FULL_SECONDS);
+        request,
+        TOO_MANY_REQUESTS,
+        "too many requests are waiting",
+        RETRY_AFTER_QUEUE_FULL_SECONDS);
   }
 
   private void error(long request, int status, String reason) {
--- a/src/main/java/gladeknot/jobs/JobRecordCodec.java
+++ b/src/main/java/gladeknot/jobs/JobRecordCodec.java
@@ -6,7 +6,7 @@
 
 /**
  * Converts a {@link Job} from and to its record in the state store. An active job's record holds
- * its submission; a final record, which never changes again, the phase and the number of tasks.
+ * the submission. A final record holds the phase and the number of tasks, and never changes again.
  */
 public final class JobRecordCodec {
   private static final String PHASE = "p";
@@ -15,7 +15,7 @@
   private static final String HOME = "h";
   private static final String SUBMITTED_MICROS = "t";
 
-  /** Not written by versions without dependencies, which ignore it. */
+  /** End time. Versions without job dependencies don't write it, and ignore it. */
   private static final String END_MICROS = "e";
 
   private static final String PHASE_DONE = "done";
@@ -23,23 +23,23 @@
 
   private JobRecordCodec() {}
 
-  /** The record of a job that is accepted at a time of day. */
+  /** Returns the record of a job that is accepted at a time of day. */
   static Map<String, Object> encodeAccepted(JobSpec spec, int home, long wallMicros) {
     return Json.of(SPEC, JobSpecCodec.encode(spec), HOME, home, SUBMITTED_MICROS, wallMicros);
   }
 
-  /** The final record of a job whose tasks are all done, from a time of day on. */
+  /** Returns the final record of a job whose tasks were all done at a time of day. */
   public static Map<String, Object> encodeDone(int tasks, long wallMicros) {
     return Json.of(PHASE, PHASE_DONE, TASKS, tasks, END_MICROS, wallMicros);
   }
 
-  /** The final record of a cancelled job. */
+  /** Returns the final record of a cancelled job. */
   public static Map<String, Object> encodeCancelled(int tasks) {
     return Json.of(PHASE, PHASE_CANCELLED, TASKS, tasks);
   }
 
   /**
-   * Reads a job's record.
+   * Decodes a job's record.
    *
    * @throws IllegalStateException if an accepted job is stored with a malformed submission
    */
@@ -52,8 +52,8 @@
     Map<String, Object> data = entry.data();
     Job.Phase phase = phaseWord.equals(PHASE_DONE) ? Job.Phase.DONE : Job.Phase.CANCELLED;
     int tasks = (int) Json.num(data, TASKS, 0);
-    long end = Json.num(data, END_MICROS, 0);
-    return new Job(id, phase, null, 0, tasks, 0, 0, end, entry.modRevision());
+    long endMicros = Json.num(data, END_MICROS, 0);
+    return new Job(id, phase, null, 0, tasks, 0, 0, endMicros, entry.modRevision());
   }
 
   private static Job decodeActive(String id, Entry entry) {
@@ -65,15 +65,15 @@
       throw new IllegalStateException("job " + id + " is stored malformed: " + e.getMessage(), e);
     }
     int home = (int) Json.num(data, HOME, 0);
-    long submitted = Json.num(data, SUBMITTED_MICROS, 0);
+    long submittedMicros = Json.num(data, SUBMITTED_MICROS, 0);
     return new Job(
         id,
         Job.Phase.ACTIVE,
         spec,
         home,
         spec.tasks(),
-        submitted,
-        submitted,
+        submittedMicros,
+        submittedMicros,
         0,
         entry.modRevision());
   }
--- a/src/main/java/gladeknot/jobs/JobRegistry.java
+++ b/src/main/java/gladeknot/jobs/JobRegistry.java
@@ -9,17 +9,20 @@
 import java.util.Map;
 
 /**
- * All accepted jobs, as the local copy of the state store shows them.
+ * All accepted jobs, as shown by the cache of the state store.
  *
- * <p>A job with dependencies that are not done is <em>held</em> and not among the active ones:
- * nothing that places tasks or scales out sees it before all of its dependencies are done. A job
- * that depends on a cancelled one, directly or through others, counts as cancelled from the moment
- * at which the copy shows that, whether its own record says so yet or not.
+ * <p>A job with dependencies that are not done is <em>held</em> and not among the active jobs.
+ * Placement and scale-out don't see it before all of its dependencies are done. A job that depends
+ * on a cancelled job, directly or indirectly, counts as cancelled as soon as the cache shows that
+ * cancellation, even if the job's own record does not show it yet.
  */
 public final class JobRegistry {
-  /** Hears of jobs that become active or are over. */
+  /** Receives jobs that become active or finish. */
   public interface Listener {
-    /** One of the two may be null: a job that was not active before, or whose record is gone. */
+    /**
+     * Handles a change of a job. {@code before} is null if the job was not active before, {@code
+     * now} if its record was deleted.
+     */
     void onJobChange(Job before, Job now);
   }
 
@@ -29,64 +32,69 @@
   private final Listener listener;
   private long changeCount;
 
-  /** An empty registry whose changes go to the listener. */
+  /** Creates an empty registry that reports changes to the listener. */
   public JobRegistry(Listener listener) {
     this.listener = listener;
   }
 
-  /** A job that is under way; null if it is unknown, held or over. */
+  /** Returns an active job; null if the job is unknown, held or finished. */
   public Job active(String id) {
     return active.get(id);
   }
 
-  /** The jobs that are under way, in the order in which they became active. */
+  /** Returns the active jobs, in the order in which they became active. */
   public Collection<Job> active() {
     return active.values();
   }
 
-  /** The jobs that are held by their dependencies. */
+  /** Returns the jobs that are held by their dependencies. */
   public Collection<Job> held() {
     return dependencies.held();
   }
 
-  /** A job that is neither done nor cancelled, held or not; null if there is no such job. */
+  /**
+   * Returns a job that is neither done nor cancelled, held or not; null if there is no such job.
+   */
   public Job unfinished(String id) {
     Job job = active.get(id);
     return job != null ? job : dependencies.held(id);
   }
 
-  /** Whether a job is done or cancelled; one that is not known is not. */
+  /** Returns whether a job is done or cancelled; false for an unknown job. */
   public boolean isFinished(String id) {
     return finished(id) != null;
   }
 
-  /** A job that is done or cancelled, be it with one of its dependencies; null if it isn't. */
+  /**
+   * Returns a job that is done, or cancelled directly or because of a dependency; null if it is
+   * neither.
+   */
   public Job finished(String id) {
     Job job = finished.get(id);
     return job != null ? job : dependencies.cancelled(id);
   }
 
-  /** Whether a job was accepted, as far as the copy shows. */
+  /** Returns whether a job was accepted, according to the cache. */
   public boolean isKnown(String id) {
     return unfinished(id) != null || isFinished(id);
   }
 
-  /** Jobs that are cancelled with a dependency, and whose own records don't say so yet. */
+  /** Returns the jobs that are cancelled because of a dependency and have no final record yet. */
   public List<Job> cancelledByDependency() {
     return dependencies.cancelled();
   }
 
-  /** The dependencies of a job that are not done yet; empty if it isn't held. */
+  /** Returns the dependencies of a job that are not done yet; empty if the job isn't held. */
   public Collection<String> openDependencies(String id) {
     return dependencies.openDependencies(id);
   }
 
-  /** Grows with every change. */
+  /** Returns a number that increases with every change. */
   public long changeCount() {
     return changeCount;
   }
 
-  /** Applies a change of a job's record; a null entry says that the record is gone. */
+  /** Applies a change of a job's record; a null entry means that the record was deleted. */
   public void onChange(String key, Entry entry) {
     String id = key.substring(Job.KEY_PREFIX.length());
     changeCount++;
--- a/src/main/java/gladeknot/jobs/JobRequestHandler.java
+++ b/src/main/java/gladeknot/jobs/JobRequestHandler.java
@@ -9,30 +9,33 @@
 import java.util.List;
 
 /**
- * Answers the users' requests: submissions, polls and cancellations.
+ * Answers users' requests: submissions, polls and cancellations.
  *
- * <p>Submissions are idempotent: a repeated one is answered as a poll of the job. What is final is
- * answered from the local copy; everything else is answered after a read barrier or a commit.
+ * <p>Submissions are idempotent: a repeated submission is answered like a poll of the job. Final
+ * states are answered from the cache. Everything else is answered after a read barrier or a commit.
  */
 public final class JobRequestHandler {
-  /** What the handler has to know of the rest of the controller. */
+  /** The handler's view of the rest of the controller. */
   public interface ClusterView {
-    /** Whether the machine types are known. */
+    /** Returns whether the machine types are known. */
     boolean typesKnown();
 
-    /** Whether a task fits some allowed machine type. */
+    /** Returns whether a task fits some allowed machine type. */
     boolean fitsSomeType(JobSpec spec);
 
-    /** The shard that takes in a new job. */
+    /** Returns the home shard of a new job. */
     int homeShard(JobSpec spec);
 
-    /** Done and running tasks of a job that is not over. */
+    /** Returns the numbers of done and running tasks of an unfinished job. */
     TaskCounts taskCounts(Job job);
 
-    /** Why answers that are not final can't be given now; null if they can. */
+    /**
+     * Returns the reason why only final states can be answered now; null if all requests can be
+     * answered.
+     */
     String refusal();
 
-    /** Announces jobs whose cancellation has just been committed to the other controllers. */
+    /** Announces to the other controllers the jobs whose cancellation has just been committed. */
     void announceCancelled(List<String> ids);
   }
 
@@ -43,7 +46,7 @@
   private final SubmissionValidator validator;
   private final RequestCommitter committer;
 
-  /** A handler that answers through the outbox. */
+  /** Creates a handler that answers through the outbox. */
   public JobRequestHandler(
       Settings settings,
       StateStore stateStore,
@@ -58,11 +61,11 @@
     this.validator = new SubmissionValidator(settings, stateStore, jobs, cluster);
     this.committer =
         new RequestCommitter(
-            stateStore, jobs, answers, tracer, cluster, new OvertakenRequestHandler());
+            stateStore, jobs, answers, tracer, cluster, new OutdatedRequestHandler());
   }
 
-  /** Answers requests again that were overtaken while they waited for their commit. */
-  private final class OvertakenRequestHandler implements RequestCommitter.OvertakenRequests {
+  /** Answers requests whose job changed while they waited for their commit. */
+  private final class OutdatedRequestHandler implements RequestCommitter.OutdatedRequestListener {
     @Override
     public void onAlreadyAccepted(PendingRequest.Submission submission) {
       poll(submission.request(), submission.jobId());
@@ -74,12 +77,12 @@
     }
   }
 
-  /** Refuses what has waited for too long, and commits what can be. */
+  /** Refuses requests that have waited for too long, and commits others if possible. */
   public void tick(long nowMicros, long wallMicros) {
     committer.tick(nowMicros, wallMicros);
   }
 
-  /** Takes in a submission; the body is the submission as JSON. */
+  /** Handles a submission; the body is the submission as JSON. */
   public void submit(long request, byte[] body) {
     JobSpec spec;
     try {
@@ -129,12 +132,15 @@
       answers.noSuchJob(request);
       return;
     }
-    // A held job has no slices, and so none of its tasks is counted.
+    // A held job has no slices, so both counts are 0.
     TaskCounts counts = cluster.taskCounts(job);
     answers.state(request, id, counts.done(), counts.running());
   }
 
-  /** Answers a poll of a job that is over: that never changes again. */
+  /**
+   * Answers a poll of a finished job, whose state never changes again. Returns whether the job is
+   * finished.
+   */
   private boolean answerIfFinished(long request, String id) {
     Job job = jobs.finished(id);
     if (job != null) {
@@ -143,7 +149,7 @@
     return job != null;
   }
 
-  /** Cancels a job; one that is over stays as it is, and its final phase is answered. */
+  /** Cancels a job. A finished job stays as it is, and the answer is its final phase. */
   public void cancel(long request, String id) {
     if (answerIfNothingToCancel(request, id) || refuseWhileStale(request)) {
       return;
@@ -174,7 +180,9 @@
     return job != null;
   }
 
-  /** Refuses a request at once while the copy can't be made new enough; returns whether it did. */
+  /**
+   * Refuses a request at once while the cache can't be brought up to date. Returns whether it did.
+   */
   private boolean refuseWhileStale(long request) {
     String reason = stateStore.loaded() ? cluster.refusal() : "the state is not read yet";
     if (reason != null) {
--- a/src/main/java/gladeknot/jobs/JobSpecCodec.java
+++ b/src/main/java/gladeknot/jobs/JobSpecCodec.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Converts a {@link JobSpec} from and to the protocol's form of a submission, which is the stored
- * form too. Faults are reported by the protocol's field names.
+ * Converts a {@link JobSpec} from and to the protocol's form of a submission, which is also the
+ * stored form. Error messages name the protocol's fields.
  */
 public final class JobSpecCodec {
   private static final String ID = "id";
@@ -25,10 +25,10 @@
   private static final String COLOCATED = "together";
   private static final String SPREAD = "scatter";
   private static final String SPOT_ALLOWED = "loaners";
-  private static final String ESTIMATED_RUN_S = "guessS";
-  private static final String CHECKPOINT_INTERVAL_S = "snapshotS";
-  private static final String CHECKPOINT_S = "flushS";
-  private static final String DEADLINE_S = "dueS";
+  private static final String ESTIMATED_RUN_SECONDS = "guessS";
+  private static final String CHECKPOINT_INTERVAL_SECONDS = "snapshotS";
+  private static final String CHECKPOINT_SECONDS = "flushS";
+  private static final String DEADLINE_SECONDS = "dueS";
   private static final String DEPENDENCIES = "waitsOn";
 
   private static final String SHAPE_ARRAY = "array";
@@ -40,10 +40,10 @@
   private static final String PRIORITY_NORMAL = "normal";
   private static final String PRIORITY_IDLE = "idle";
 
-  private static final double MILLIS = 1000.0;
+  private static final double THOUSANDTHS_PER_UNIT = 1000.0;
   private static final double MICROS_PER_SECOND = 1e6;
   private static final double MAX_AMOUNT = 1e9;
-  private static final int MAX_TEXT = 200;
+  private static final int MAX_TEXT_LENGTH = 200;
 
   private final Map<String, Object> fields;
 
@@ -52,16 +52,16 @@
   }
 
   /**
-   * Reads a submission. Unknown fields are ignored.
+   * Decodes a submission. Unknown fields are ignored.
    *
-   * @throws MalformedJobException for the first field that is wrong
+   * @throws MalformedJobException for the first invalid field
    */
   public static JobSpec decode(Map<String, Object> fields) throws MalformedJobException {
     return new JobSpecCodec(fields).decode();
   }
 
   private JobSpec decode() throws MalformedJobException {
-    // Of several faults the first is reported, in this order.
+    // If several fields are invalid, the first one in this order is reported.
     String id = id();
     JobSpec.Shape shape = shape();
     JobSpec.Priority priority = priority();
@@ -83,14 +83,14 @@
         flag(COLOCATED),
         flag(SPREAD),
         flag(SPOT_ALLOWED),
-        micros(ESTIMATED_RUN_S),
-        micros(CHECKPOINT_INTERVAL_S),
-        micros(CHECKPOINT_S),
-        fields.get(DEADLINE_S) == null ? 0 : Math.max(1, micros(DEADLINE_S)),
+        micros(ESTIMATED_RUN_SECONDS),
+        micros(CHECKPOINT_INTERVAL_SECONDS),
+        micros(CHECKPOINT_SECONDS),
+        fields.get(DEADLINE_SECONDS) == null ? 0 : Math.max(1, micros(DEADLINE_SECONDS)),
         dependencies());
   }
 
-  /** The submission as it was written, with the known fields alone. */
+  /** Returns the submission in the protocol's form, with the known fields only. */
   public static Map<String, Object> encode(JobSpec spec) {
     Map<String, Object> fields =
         Json.of(
@@ -100,9 +100,9 @@
             SHAPE, shapeWord(spec.shape()),
             PRIORITY, priorityWord(spec.priority()),
             TASKS, spec.tasks(),
-            CPUS, spec.cpus() / MILLIS,
-            GPUS, spec.gpus() / MILLIS,
-            MEMORY, spec.memory() / MILLIS,
+            CPUS, spec.cpus() / THOUSANDTHS_PER_UNIT,
+            GPUS, spec.gpus() / THOUSANDTHS_PER_UNIT,
+            MEMORY, spec.memory() / THOUSANDTHS_PER_UNIT,
             IMAGE, spec.image(),
             IMAGE_GB, spec.imageGb(),
             MACHINE_TYPES, spec.machineTypes(),
@@ -110,11 +110,12 @@
             COLOCATED, spec.colocated(),
             SPREAD, spec.spread(),
             SPOT_ALLOWED, spec.spotAllowed(),
-            ESTIMATED_RUN_S, seconds(spec.estimatedRunMicros()),
-            CHECKPOINT_INTERVAL_S, seconds(spec.checkpointIntervalMicros()),
-            CHECKPOINT_S, seconds(spec.checkpointMicros()),
-            DEADLINE_S, spec.deadlineMicros() == 0 ? null : seconds(spec.deadlineMicros()));
-    // Versions without dependencies know no such field: it is written only where it is needed.
+            ESTIMATED_RUN_SECONDS, seconds(spec.estimatedRunMicros()),
+            CHECKPOINT_INTERVAL_SECONDS, seconds(spec.checkpointIntervalMicros()),
+            CHECKPOINT_SECONDS, seconds(spec.checkpointMicros()),
+            DEADLINE_SECONDS, spec.deadlineMicros() == 0 ? null : seconds(spec.deadlineMicros()));
+    // Versions without job dependencies don't know this field. It is written only if it is not
+    // empty.
     if (!spec.dependencies().isEmpty()) {
       fields.put(DEPENDENCIES, spec.dependencies());
     }
@@ -175,7 +176,7 @@
     return count;
   }
 
-  /** The allowed types; null if all are allowed. */
+  /** Returns the allowed machine types; null if all are allowed. */
   private List<String> machineTypes() throws MalformedJobException {
     Object value = fields.get(MACHINE_TYPES);
     if (value == null) {
@@ -203,8 +204,8 @@
 
   private String text(String name) throws MalformedJobException {
     String value = Json.text(fields, name);
-    if (value == null || value.isEmpty() || value.length() > MAX_TEXT) {
-      throw malformed(name, "must be a text of 1 to " + MAX_TEXT + " characters");
+    if (value == null || value.isEmpty() || value.length() > MAX_TEXT_LENGTH) {
+      throw malformed(name, "must be a text of 1 to " + MAX_TEXT_LENGTH + " characters");
     }
     return value;
   }
@@ -221,10 +222,10 @@
   }
 
   private long thousandths(String name, boolean aboveZero) throws MalformedJobException {
-    return Math.round(amount(name, aboveZero) * MILLIS);
+    return Math.round(amount(name, aboveZero) * THOUSANDTHS_PER_UNIT);
   }
 
-  /** A duration that is written in seconds, in microseconds. */
+  /** Returns a duration field, which is given in seconds, in microseconds. */
   private long micros(String name) throws MalformedJobException {
     return Math.round(amount(name, false) * MICROS_PER_SECOND);
   }
--- a/src/main/java/gladeknot/jobs/MalformedJobException.java
+++ b/src/main/java/gladeknot/jobs/MalformedJobException.java
@@ -1,6 +1,6 @@
 package gladeknot.jobs;
 
-/** A submission that breaks the protocol's form; the message names the offending field. */
+/** Thrown for a malformed submission. The message names the invalid field. */
 public final class MalformedJobException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gladeknot/jobs/PendingRequest.java
+++ b/src/main/java/gladeknot/jobs/PendingRequest.java
@@ -2,16 +2,18 @@
 
 /** A user's request that waits for a commit. */
 sealed interface PendingRequest {
-  /** The number by which the request is answered. */
+  /** Returns the number by which the request is answered. */
   long request();
 
-  /** The job that it is about. */
+  /** Returns the id of the job that the request is about. */
   String jobId();
 
-  /** When it began to wait, in microseconds of the event loop's clock. */
+  /**
+   * Returns the time at which the request began to wait, in microseconds of the event loop's clock.
+   */
   long sinceMicros();
 
-  /** A job to be accepted. */
+  /** A request to accept a job. */
   record Submission(long request, JobSpec spec, long sinceMicros) implements PendingRequest {
     @Override
     public String jobId() {
@@ -19,6 +21,6 @@
     }
   }
 
-  /** A job to be cancelled. */
+  /** A request to cancel a job. */
   record Cancellation(long request, String jobId, long sinceMicros) implements PendingRequest {}
 }
--- a/src/main/java/gladeknot/jobs/RequestCommitter.java
+++ b/src/main/java/gladeknot/jobs/RequestCommitter.java
@@ -13,41 +13,41 @@
 /**
  * Commits submissions and cancellations, many in one transaction, and answers them.
  *
- * <p>One transaction is under way at a time; what comes meanwhile waits in the queue. A request
- * that waits for too long is refused and may be repeated.
+ * <p>One transaction is in flight at a time. Requests that arrive in the meantime wait in a queue.
+ * A request that waits for too long is refused and may be repeated.
  */
 final class RequestCommitter {
-  /** Takes back requests that the state of their job has overtaken while they waited. */
-  interface OvertakenRequests {
-    /** The job of a submission has been accepted meanwhile. */
+  /** Handles requests whose job changed while they waited, so that they can't be committed. */
+  interface OutdatedRequestListener {
+    /** Handles a submission whose job has been accepted in the meantime. */
     void onAlreadyAccepted(PendingRequest.Submission submission);
 
-    /** The job of a cancellation is not, or no more, among the unfinished ones. */
+    /** Handles a cancellation whose job is not, or no longer, unfinished. */
     void onNotUnfinished(PendingRequest.Cancellation cancellation);
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(RequestCommitter.class);
-  private static final int MAX_QUEUE = 300;
+  private static final int MAX_QUEUED_REQUESTS = 300;
   private static final long MAX_WAIT_MICROS = 2_500_000;
 
-  /** Until the next try after the state store said that it is asked too often. */
-  private static final long THROTTLED_MICROS = 60_000;
+  /** Delay until the next transaction after the state store has throttled one. */
+  private static final long THROTTLED_DELAY_MICROS = 60_000;
 
-  /** Until the next try after the state store failed. */
-  private static final long FAILED_MICROS = 100_000;
+  /** Delay until the next transaction after the state store has failed. */
+  private static final long FAILED_DELAY_MICROS = 100_000;
 
-  /** The share of the write tokens that is kept for others: users' requests leave none. */
-  private static final int RESERVED_WRITES = 0;
+  /** Share of the write tokens left to more urgent transactions. Users' requests leave none. */
+  private static final int RESERVED_WRITE_SHARE = 0;
 
   private final StateStore stateStore;
   private final JobRegistry jobs;
   private final JobAnswers answers;
   private final TaskTracer tracer;
   private final JobRequestHandler.ClusterView cluster;
-  private final OvertakenRequests overtaken;
+  private final OutdatedRequestListener outdatedRequests;
   private final ArrayDeque<PendingRequest> queue = new ArrayDeque<>();
   private boolean inFlight;
-  private long nextMicros;
+  private long nextCommitMicros;
   private long nowMicros;
   private long wallMicros;
 
@@ -57,16 +57,16 @@
       JobAnswers answers,
       TaskTracer tracer,
       JobRequestHandler.ClusterView cluster,
-      OvertakenRequests overtaken) {
+      OutdatedRequestListener outdatedRequests) {
     this.stateStore = stateStore;
     this.jobs = jobs;
     this.answers = answers;
     this.tracer = tracer;
     this.cluster = cluster;
-    this.overtaken = overtaken;
+    this.outdatedRequests = outdatedRequests;
   }
 
-  /** Queues a submission that was validated. */
+  /** Queues a validated submission. */
   void submit(long request, JobSpec spec) {
     if (enqueue(new PendingRequest.Submission(request, spec, nowMicros))) {
       tracer.submitted(spec.id());
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Queues the cancellation of a job that is not over. */
+  /** Queues the cancellation of an unfinished job. */
   void cancel(long request, String id) {
     if (enqueue(new PendingRequest.Cancellation(request, id, nowMicros))) {
       flush();
@@ -82,7 +82,7 @@
   }
 
   private boolean enqueue(PendingRequest pending) {
-    if (queue.size() >= MAX_QUEUE) {
+    if (queue.size() >= MAX_QUEUED_REQUESTS) {
       answers.queueFull(pending.request());
       return false;
     }
@@ -90,7 +90,7 @@
     return true;
   }
 
-  /** Refuses what has waited for too long, and commits what can be. */
+  /** Refuses requests that have waited for too long, and commits others if possible. */
   void tick(long now, long wall) {
     nowMicros = now;
     wallMicros = wall;
@@ -101,25 +101,31 @@
   }
 
   private void flush() {
-    if (inFlight || queue.isEmpty() || nowMicros < nextMicros || !stateStore.loaded()) {
+    if (inFlight || queue.isEmpty() || nowMicros < nextCommitMicros || !stateStore.loaded()) {
       return;
     }
     List<PendingRequest> deferred = new ArrayList<>();
     RequestBatch batch = nextBatch(deferred);
-    if (!batch.isEmpty() && stateStore.tryAcquireWrites(batch.requests().size(), RESERVED_WRITES)) {
+    if (!batch.isEmpty()
+        && stateStore.tryAcquireWrites(batch.requests().size(), RESERVED_WRITE_SHARE)) {
       inFlight = true;
       stateStore.commit(
-          batch.conditions(), batch.mutations(), outcome -> onCommitted(outcome, batch.requests()));
+          batch.preconditions(),
+          batch.mutations(),
+          outcome -> onCommitted(outcome, batch.requests()));
     } else {
       putBack(batch.requests());
     }
     queue.addAll(deferred);
   }
 
-  /** Takes what one transaction can hold; a second request about a job in it is deferred. */
+  /**
+   * Takes as many requests from the queue as one transaction can hold. A second request about the
+   * same job is deferred.
+   */
   private RequestBatch nextBatch(List<PendingRequest> deferred) {
-    // The batch is limited to the tokens that there are: waiting for a full bucket takes longer.
-    int writes = Math.max(1, stateStore.availableWrites(RESERVED_WRITES));
+    // The batch is limited to the available tokens. Waiting for a full token bucket takes longer.
+    int writes = Math.max(1, stateStore.availableWrites(RESERVED_WRITE_SHARE));
     RequestBatch batch =
         new RequestBatch(
             Math.min(stateStore.limits().maxOperations(), writes),
@@ -139,7 +145,7 @@
 
   private void addSubmission(PendingRequest.Submission submission, RequestBatch batch) {
     if (jobs.isKnown(submission.jobId())) {
-      overtaken.onAlreadyAccepted(submission);
+      outdatedRequests.onAlreadyAccepted(submission);
       return;
     }
     JobSpec spec = submission.spec();
@@ -151,7 +157,7 @@
   private void addCancellation(PendingRequest.Cancellation cancellation, RequestBatch batch) {
     Job job = jobs.unfinished(cancellation.jobId());
     if (job == null) {
-      overtaken.onNotUnfinished(cancellation);
+      outdatedRequests.onNotUnfinished(cancellation);
       return;
     }
     batch.addCancellation(cancellation, job);
@@ -179,18 +185,20 @@
     inFlight = false;
     switch (outcome.status()) {
       case COMMITTED -> answerCommitted(requests);
-      case CONFLICT -> retryOnceCopyShows(outcome.revision(), requests);
+      case CONFLICT -> retryAtRevision(outcome.revision(), requests);
       case UNKNOWN ->
-          // The transaction may still be applied; a repeat finds the job or commits it again.
+          // The transaction may still be applied. A repeated request finds the job or commits it
+          // again.
           refuseAll(requests, JobAnswers.STATE_STORE_UNREACHABLE);
       case THROTTLED -> {
-        // Nothing was done, and tokens come soon: what waits too long is refused meanwhile.
+        // Nothing was applied, and tokens will be available soon. Until then, tick refuses requests
+        // that wait for too long.
         putBack(requests);
-        nextMicros = nowMicros + THROTTLED_MICROS;
+        nextCommitMicros = nowMicros + THROTTLED_DELAY_MICROS;
       }
       default -> {
         refuseAll(requests, "the state service is out of order");
-        nextMicros = nowMicros + FAILED_MICROS;
+        nextCommitMicros = nowMicros + FAILED_DELAY_MICROS;
       }
     }
   }
@@ -199,7 +207,7 @@
     announceCancellations(requests);
     for (PendingRequest pending : requests) {
       String id = pending.jobId();
-      // A job may be over from the start, cancelled with one of its dependencies.
+      // A submitted job may be finished already, cancelled because of a dependency.
       if (pending instanceof PendingRequest.Submission submission) {
         logAccepted(submission.spec());
         tracer.accepted(id);
@@ -234,8 +242,11 @@
         spec.dependencies().size());
   }
 
-  /** Another controller has changed one of these jobs; each is judged again by a newer copy. */
-  private void retryOnceCopyShows(long revision, List<PendingRequest> requests) {
+  /**
+   * Handles a conflict: another controller has changed one of the jobs. The requests are queued
+   * again once the cache has reached {@code revision}, and each is checked anew.
+   */
+  private void retryAtRevision(long revision, List<PendingRequest> requests) {
     stateStore.whenRevisionReached(
         revision,
         () -> {
--- a/src/main/java/gladeknot/jobs/SubmissionErrors.java
+++ b/src/main/java/gladeknot/jobs/SubmissionErrors.java
@@ -3,7 +3,7 @@
 import gladeknot.jobs.SubmissionOutcome.Rejected;
 import gladeknot.jobs.SubmissionOutcome.Rejected.Cause;
 
-/** The rejections of submissions, whose texts name the protocol's fields. */
+/** Creates the rejections of submissions, whose texts name the protocol's fields. */
 final class SubmissionErrors {
   private SubmissionErrors() {}
 
@@ -15,7 +15,9 @@
     return new Rejected(Cause.MALFORMED, fault.getMessage());
   }
 
-  /** The submission's record would exceed what the state store takes. */
+  /**
+   * Rejects a submission whose record would exceed the maximum size of a value in the state store.
+   */
   static Rejected tooLong(JobSpec spec) {
     String longestField = spec.dependencies().isEmpty() ? "hosttypes" : "waitsOn";
     return new Rejected(Cause.MALFORMED, longestField + ": too long");
--- a/src/main/java/gladeknot/jobs/SubmissionOutcome.java
+++ b/src/main/java/gladeknot/jobs/SubmissionOutcome.java
@@ -1,27 +1,27 @@
 package gladeknot.jobs;
 
-/** What the validation of a submission, or a step of it, has come to. */
+/** Result of the validation of a submission, or of one of its steps. */
 sealed interface SubmissionOutcome {
-  /** Nothing stands against the submission; it may be committed. */
+  /** The submission is valid and may be committed. */
   record Accepted(JobSpec spec) implements SubmissionOutcome {}
 
-  /** The submission names dependencies that the local copy may be too old to show. */
+  /** The submission names dependencies that the cache may be too old to show. */
   record NeedsReadBarrier(JobSpec spec) implements SubmissionOutcome {}
 
-  /** A job with this id was accepted before: the submission is a repeated one. */
+  /** A job with this id was accepted before, so the submission is a repeated one. */
   record AlreadyAccepted(String id) implements SubmissionOutcome {}
 
   /** The submission will never be accepted; the reason is for its user. */
   record Rejected(Cause cause, String reason) implements SubmissionOutcome {
-    /** Why a submission is rejected. */
+    /** Reason for a rejection. */
     enum Cause {
-      /** It breaks the protocol's form or size. */
+      /** The submission violates the protocol's form or size limits. */
       MALFORMED,
-      /** It is well formed, but can't be run as it is. */
+      /** The submission is well formed, but the job can't be run as specified. */
       UNSATISFIABLE
     }
   }
 
-  /** Nothing can be said now; the submission should be repeated. */
+  /** The submission can't be validated now and should be repeated. */
   record RetryLater(String reason) implements SubmissionOutcome {}
 }
--- a/src/main/java/gladeknot/jobs/SubmissionValidator.java
+++ b/src/main/java/gladeknot/jobs/SubmissionValidator.java
@@ -9,9 +9,12 @@
 import gladeknot.state.StateStore;
 import java.util.Optional;
 
-/** Decides what becomes of a well-formed submission before it is committed. */
+/** Validates well-formed submissions before they are committed. */
 final class SubmissionValidator {
-  /** What a record's home shard and time take beyond those that it is measured with. */
+  /**
+   * Size allowed, in addition, for the home shard and the time in a record. The record is measured
+   * with 0 for both.
+   */
   private static final int HOME_AND_TIME_BYTES = 64;
 
   private final Settings settings;
@@ -30,14 +33,14 @@
     this.cluster = cluster;
   }
 
-  /** Judges a submission by the local copy, however old that is. */
+  /** Validates a submission against the cache, however old the cache is. */
   SubmissionOutcome validate(JobSpec spec) {
     if (jobs.isKnown(spec.id())) {
       return new AlreadyAccepted(spec.id());
     }
-    Optional<SubmissionOutcome> fault = quotaFault(spec);
-    if (fault.isPresent()) {
-      return fault.get();
+    Optional<SubmissionOutcome> rejection = quotaRejection(spec);
+    if (rejection.isPresent()) {
+      return rejection.get();
     }
     if (!cluster.typesKnown()) {
       return new RetryLater("machine types are not known yet");
@@ -57,7 +60,7 @@
     return validateDependencies(spec);
   }
 
-  /** Judges a submission's dependencies; the copy is new enough to show all of them. */
+  /** Validates a submission's dependencies. The cache must be recent enough to show all of them. */
   SubmissionOutcome validateDependencies(JobSpec spec) {
     if (jobs.isKnown(spec.id())) {
       return new AlreadyAccepted(spec.id());
@@ -74,7 +77,7 @@
     return new Accepted(spec);
   }
 
-  private Optional<SubmissionOutcome> quotaFault(JobSpec spec) {
+  private Optional<SubmissionOutcome> quotaRejection(JobSpec spec) {
     Settings.Team team = settings.teams().get(spec.team());
     if (team == null) {
       return Optional.of(SubmissionErrors.unknownTeam(spec.team()));
--- a/src/main/java/gladeknot/jobs/TaskCounts.java
+++ b/src/main/java/gladeknot/jobs/TaskCounts.java
@@ -1,7 +1,7 @@
 package gladeknot.jobs;
 
 /**
- * How far a job has come, for display.
+ * Progress of a job, for display.
  *
  * @param done tasks that committed records show as completed
  * @param running tasks that are assigned to a worker and have not ended
--- a/src/main/java/gladeknot/jobs/package-info.java
+++ b/src/main/java/gladeknot/jobs/package-info.java
@@ -1,14 +1,14 @@
 /**
- * Accepted jobs, and the users' requests about them.
+ * Accepted jobs, and users' requests about them.
  *
- * <p>{@link gladeknot.jobs.JobRegistry} mirrors the job records of the state store and works out
+ * <p>{@link gladeknot.jobs.JobRegistry} mirrors the job records of the state store and determines
  * which jobs are active, held by their dependencies, or finished. {@link
- * gladeknot.jobs.JobRequestHandler} answers submissions, polls and cancellations; the requests that
- * wait for a commit are the only state of its own. The protocol's field names are confined to
- * {@link gladeknot.jobs.JobSpecCodec}, {@code SubmissionErrors} and {@code JobAnswers}, the stored
- * form to {@link gladeknot.jobs.JobRecordCodec}.
+ * gladeknot.jobs.JobRequestHandler} answers submissions, polls and cancellations; its only own
+ * state is the requests that wait for a commit. The protocol's field names are confined to {@link
+ * gladeknot.jobs.JobSpecCodec}, {@code SubmissionErrors} and {@code JobAnswers}, the stored form to
+ * {@link gladeknot.jobs.JobRecordCodec}.
  *
- * <p>Uses {@code state}, {@code outbox}, {@code json}, {@code settings} and {@code tracing}; knows
- * nothing of slices, attempts or workers.
+ * <p>Uses {@code state}, {@code outbox}, {@code json}, {@code settings} and {@code tracing}; does
+ * not depend on slices, attempts or workers.
  */
 package gladeknot.jobs;
