--- a/src/test/java/gladeknot/jobs/JobRegistryTest.java
+++ b/src/test/java/gladeknot/jobs/JobRegistryTest.java
@@ -14,11 +14,15 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Which jobs are held, released and cancelled, in whatever order their records come to be read. */
+/**
+ * Jobs are held, released and cancelled by their dependencies, in whatever order their records are
+ * read.
+ */
 class JobRegistryTest {
-  private final List<String> heard = new ArrayList<>();
+  private final List<String> changes = new ArrayList<>();
   private final JobRegistry jobs =
-      new JobRegistry((before, now) -> heard.add((now.active() ? "active " : "over ") + now.id()));
+      new JobRegistry(
+          (before, now) -> changes.add((now.active() ? "active " : "over ") + now.id()));
   private long revision;
 
   private static Map<String, Object> record(String id, String... dependencies) {
@@ -42,7 +46,7 @@
   }
 
   @Test
-  void aJobIsReleasedWithTheLastThatItNeeds() {
+  void jobIsReleasedWhenLastDependencyIsDone() {
     accept("req-a");
     accept("req-b");
     accept("req-c", "req-a", "req-b");
@@ -52,13 +56,14 @@
     done("req-b");
     assertEquals("req-c", jobs.active("req-c").id());
     assertEquals(
-        List.of("active req-a", "active req-b", "over req-a", "over req-b", "active req-c"), heard);
+        List.of("active req-a", "active req-b", "over req-a", "over req-b", "active req-c"),
+        changes);
   }
 
   @Test
-  void recordsMayBeReadInAnyOrder() {
+  void resultDoesNotDependOnOrderOfRecords() {
     for (int seed = 0; seed < 20; seed++) {
-      JobRegistry read = new JobRegistry((before, now) -> {});
+      JobRegistry registry = new JobRegistry((before, now) -> {});
       List<String> order = new ArrayList<>(List.of("a", "b", "c", "d", "e"));
       Collections.shuffle(order, new Random(seed));
       for (String name : order) {
@@ -70,17 +75,17 @@
               case "d" -> record("req-d", "req-c", "req-a");
               default -> record("req-e", "req-d");
             };
-        read.onChange(Job.key("req-" + name), new Entry(record, 1));
+        registry.onChange(Job.key("req-" + name), new Entry(record, 1));
       }
-      assertEquals(5_000, read.active("req-c").readyMicros());
-      assertTrue(read.isFinished("req-d") && read.isFinished("req-e"), order.toString());
-      assertEquals(2, read.cancelledByDependency().size());
-      assertEquals(0, read.held().size());
+      assertEquals(5_000, registry.active("req-c").readyMicros());
+      assertTrue(registry.isFinished("req-d") && registry.isFinished("req-e"), order.toString());
+      assertEquals(2, registry.cancelledByDependency().size());
+      assertEquals(0, registry.held().size());
     }
   }
 
   @Test
-  void hundredsMayNeedOneAndOneMayNeedHundreds() {
+  void jobMayHaveHundredsOfDependentsOrDependencies() {
     accept("req-first");
     String[] middle = new String[500];
     for (int i = 0; i < middle.length; i++) {
@@ -97,7 +102,7 @@
   }
 
   @Test
-  void aCancellationReachesDependentsAndNotDependencies() {
+  void cancellationPropagatesToDependentsOnly() {
     accept("req-a");
     accept("req-b", "req-a");
     accept("req-c", "req-b");
@@ -107,7 +112,7 @@
     cancel("req-b");
     assertTrue(jobs.isFinished("req-d"));
     assertEquals("req-a", jobs.active("req-a").id());
-    // Its own record says so at last.
+    // The job's own record now shows the cancellation.
     cancel("req-d");
     assertEquals(List.of(), jobs.cancelledByDependency());
     assertEquals(Job.Phase.CANCELLED, jobs.finished("req-d").phase());
--- a/src/test/java/gladeknot/workers/CommandCodecTest.java
+++ b/src/test/java/gladeknot/workers/CommandCodecTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What workers are sent, byte for byte. */
+/** Encoded messages to workers, byte for byte. */
 class CommandCodecTest {
   private static final List<WorkerCommand> COMMANDS =
       List.of(
@@ -29,20 +29,20 @@
   }
 
   @Test
-  void anAnswerCarriesTheTokenAndTheCommandsInOrder() {
+  void answerContainsTokenAndCommandsInOrder() {
     assertEquals("{\"fence\":41," + ENCODED, text(CommandCodec.answer(41, COMMANDS)));
     assertEquals("{\"fence\":41,\"orders\":[]}", text(CommandCodec.answer(41, List.of())));
   }
 
   @Test
-  void directCommandsNameTheIncarnation() {
+  void directCommandsContainIncarnation() {
     assertEquals(
         "{\"fence\":41,\"tenure\":3," + ENCODED,
         text(CommandCodec.directCommands(41, 3, COMMANDS)));
   }
 
   @Test
-  void aRedirectNamesTheNode() {
+  void redirectContainsNode() {
     assertEquals("{\"foreman\":\"knotbox-2\"}", text(CommandCodec.redirect("knotbox-2")));
   }
 }
--- a/src/test/java/gladeknot/workers/HeartbeatCodecTest.java
+++ b/src/test/java/gladeknot/workers/HeartbeatCodecTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Heartbeats as the protocol has them, and what is wrong with others. */
+/** Decoding of heartbeats, and the error messages for malformed ones. */
 class HeartbeatCodecTest {
   private static Map<String, Object> message(Object... changes) {
     Map<String, Object> message =
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void readsEachField() throws MalformedHeartbeatException {
+  void decodesEachField() throws MalformedHeartbeatException {
     assertEquals(
         new Heartbeat(
             "vm-000231",
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void aNoticeIsPresentFromZeroSecondsOn() throws MalformedHeartbeatException {
+  void reclaimNoticeIsPresentUnlessNegative() throws MalformedHeartbeatException {
     assertEquals(
         OptionalDouble.of(0), HeartbeatCodec.read(message("recallS", 0)).reclaimInSeconds());
     assertEquals(
@@ -88,7 +88,8 @@
     "ended, ENDED",
     "dreaming, RUNNING",
   })
-  void phasesKeepTheirWord(String word, TaskPhase phase) throws MalformedHeartbeatException {
+  void phaseIsDecodedAndKeepsItsText(String word, TaskPhase phase)
+      throws MalformedHeartbeatException {
     Heartbeat.TaskStatus status = task("phase", word);
     assertEquals(phase, status.phase());
     assertEquals(word, status.phaseText());
@@ -107,14 +108,15 @@
     "incomplete, OTHER",
     "whim, OTHER",
   })
-  void causesKeepTheirWord(String word, EndCause cause) throws MalformedHeartbeatException {
+  void causeIsDecodedAndKeepsItsText(String word, EndCause cause)
+      throws MalformedHeartbeatException {
     Heartbeat.TaskStatus status = task("phase", "ended", "cause", word);
     assertEquals(cause, status.cause());
     assertEquals(word, status.causeText());
   }
 
   @Test
-  void aTaskNamesItsJobAndMayHaveNoCause() throws MalformedHeartbeatException {
+  void taskWithoutCauseHasJobAndEmptyCauseText() throws MalformedHeartbeatException {
     Heartbeat.TaskStatus status = task();
     assertEquals("req-000412", status.job());
     assertEquals(2, status.attempt());
@@ -124,7 +126,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"host", "endpoint", "hosttype", "glade"})
-  void textsMustBeThere(String field) {
+  void missingOrEmptyTextIsRejected(String field) {
     assertEquals(field + ": missing, or not a text", problem(message(field, null)));
     assertEquals(field + ": missing, or not a text", problem(message(field, "")));
     assertEquals(field + ": missing, or not a text", problem(message(field, 7)));
@@ -132,7 +134,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"tenure", "tick", "fence"})
-  void countsMustBeWhole(String field) {
+  void missingOrNonWholeNumberIsRejected(String field) {
     assertEquals(field + ": must be a whole number", problem(message(field, null)));
     assertEquals(field + ": must be a whole number", problem(message(field, -1)));
     assertEquals(field + ": must be a whole number", problem(message(field, 1.0)));
@@ -140,7 +142,7 @@
   }
 
   @Test
-  void tasksMustBeAListOfTasks() throws MalformedHeartbeatException {
+  void malformedTasksAreRejected() throws MalformedHeartbeatException {
     assertEquals("strands: must be a list", problem(message("strands", "none")));
     assertEquals(List.of(), HeartbeatCodec.read(message("strands", null)).tasks());
     for (String name : List.of("req-1", "/3", "req-1/", "req-1/x", "req-1/1234567")) {
--- a/src/test/java/gladeknot/workers/ImageCacheTest.java
+++ b/src/test/java/gladeknot/workers/ImageCacheTest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which images a machine still has. */
+/** Eviction of images from a machine's cache. */
 class ImageCacheTest {
   @Test
-  void evictsWhatWasUsedLongestAgo() {
+  void evictsLeastRecentlyUsedImage() {
     ImageCache cache = new ImageCache();
     cache.use("a", 4, 10);
     cache.use("b", 4, 10);
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void anImageAboveTheCacheSizeLeavesNothing() {
+  void imageLargerThanCacheEvictsAllImages() {
     ImageCache cache = new ImageCache();
     cache.use("a", 4, 10);
     cache.use("b", 11, 10);
--- a/src/test/java/gladeknot/workers/WorkerRecordCodecTest.java
+++ b/src/test/java/gladeknot/workers/WorkerRecordCodecTest.java
@@ -4,15 +4,15 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The stored form of machines, which neighbouring versions read too. */
+/** Stored form of machine records, which adjacent versions read too. */
 class WorkerRecordCodecTest {
   @Test
-  void recordsComeBackFromTheirStoredForm() {
+  void recordsRoundTripThroughStoredForm() {
     WorkerRecord spot = new WorkerRecord(2, "small", "a", true, 5_000_000_000L, false);
     assertEquals("2|small|a|s|5000000000|", WorkerRecordCodec.encode(spot));
     assertEquals(spot, WorkerRecordCodec.decode("2|small|a|s|5000000000|"));
-    WorkerRecord leaving = new WorkerRecord(0, "g8", "b", false, 7, true);
-    assertEquals("0|g8|b|o|7|x", WorkerRecordCodec.encode(leaving));
-    assertEquals(leaving, WorkerRecordCodec.decode("0|g8|b|o|7|x"));
+    WorkerRecord terminating = new WorkerRecord(0, "g8", "b", false, 7, true);
+    assertEquals("0|g8|b|o|7|x", WorkerRecordCodec.encode(terminating));
+    assertEquals(terminating, WorkerRecordCodec.decode("0|g8|b|o|7|x"));
   }
 }
--- a/src/test/java/gladeknot/workers/WorkerRegistryTest.java
+++ b/src/test/java/gladeknot/workers/WorkerRegistryTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Machines by their keys: registered, transferred to another shard, released for good. */
+/** Registration of machines, their transfer to another shard, and their release. */
 class WorkerRegistryTest {
   private static final String KEY = WorkerRecordCodec.key("vm-000231");
 
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void consecutiveNamesShareAKeyAndAreReadBackFromIt() {
+  void consecutiveNamesShareKeyAndAreDecodedFromIt() {
     for (String host : List.of("vm-000230", "vm-000239", "vm-00023x")) {
       assertEquals(KEY, WorkerRecordCodec.key(host));
       assertEquals(
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void aTransferToAnotherShardResetsTheSession() throws MalformedHeartbeatException {
+  void transferToAnotherShardResetsSession() throws MalformedHeartbeatException {
     WorkerRegistry registry = new WorkerRegistry();
     Entry first = entry("1", record(0), "2", record(0));
     registry.onChange(KEY, null, first);
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void releasedMachinesStayKnownAsReleased() {
+  void releasedMachineStaysKnownAsReleased() {
     WorkerRegistry registry = new WorkerRegistry();
     Entry first = entry("1", record(0));
     registry.onChange(KEY, null, first);
@@ -60,11 +60,11 @@
   }
 
   /**
-   * An answer renews a lease only if it got there, which the token of a later report tells: an
-   * answer that did not must not keep a task from being started elsewhere.
+   * An answer renews a lease only if it arrives, which the fencing token of a later heartbeat
+   * shows. A lost answer must not keep a task from being started elsewhere.
    */
   @Test
-  void anAnswerThatWasLostRenewsNoLease() throws MalformedHeartbeatException {
+  void lostAnswerRenewsNoLease() throws MalformedHeartbeatException {
     WorkerRegistry registry = new WorkerRegistry();
     registry.onChange(KEY, null, entry("1", record(0)));
     Worker worker = registry.get("vm-000231");
@@ -77,14 +77,14 @@
     worker.onAnswered(5_100, 9);
     worker.onHeartbeat(heartbeat(1, 3, 9), 7_000);
     assertEquals(5_100, worker.answeredMicros());
-    // Under a higher term nothing is known of the older answer but that it was good in its time.
+    // The answer with term 12 was lost. The answer before it, with term 9, had arrived.
     worker.onAnswered(7_100, 12);
     worker.onHeartbeat(heartbeat(1, 4, 9), 9_000);
     assertEquals(5_100, worker.answeredMicros());
   }
 
   @Test
-  void anIncarnationThatOutlastsALeaseHasBeenAnswered() throws MalformedHeartbeatException {
+  void workerIsReachableIfIncarnationOutlastsLease() throws MalformedHeartbeatException {
     WorkerRegistry registry = new WorkerRegistry();
     registry.onChange(KEY, null, entry("1", record(0)));
     Worker worker = registry.get("vm-000231");
