--- a/src/main/java/gladeknot/fleet/WorkerRecords.java
+++ b/src/main/java/gladeknot/fleet/WorkerRecords.java
@@ -30,18 +30,29 @@
 
   /** Transfers a worker to another shard. */
   void transfer(Worker worker, int toShard, MutationCallback callback) {
-    write(worker.host(), worker.shard(), worker.record(), worker.record(toShard, false), callback);
+    write(
+        worker.host(),
+        worker.shard(),
+        worker.encodedRecord(),
+        worker.encodedRecord(toShard, false),
+        callback);
   }
 
   /** Marks a worker as terminating: its instance is to be released. */
   void markTerminating(Worker worker, MutationCallback callback) {
     int shard = worker.shard();
-    write(worker.host(), shard, worker.record(), worker.record(shard, true), callback);
+    write(
+        worker.host(), shard, worker.encodedRecord(), worker.encodedRecord(shard, true), callback);
   }
 
   /** Marks a worker as released, as the owner of {@code ownedShard}. */
   void markReleased(Worker worker, int ownedShard) {
-    write(worker.host(), ownedShard, worker.record(), WorkerRecordCodec.RELEASED, committed -> {});
+    write(
+        worker.host(),
+        ownedShard,
+        worker.encodedRecord(),
+        WorkerRecordCodec.RELEASED,
+        committed -> {});
   }
 
   private void write(
--- a/src/main/java/gladeknot/workers/Worker.java
+++ b/src/main/java/gladeknot/workers/Worker.java
@@ -64,12 +64,12 @@
   }
 
   /** Returns the stored form of the machine's record in the cache; null if there is none. */
-  public String record() {
-    return registered ? record(record.shard(), record.terminating()) : null;
+  public String encodedRecord() {
+    return registered ? encodedRecord(record.shard(), record.terminating()) : null;
   }
 
   /** Returns the stored form of the record with the given shard and terminating flag. */
-  public String record(int inShard, boolean isTerminating) {
+  public String encodedRecord(int inShard, boolean isTerminating) {
     return WorkerRecordCodec.encode(
         new WorkerRecord(
             inShard,
