--- a/src/main/java/gladeknot/jobs/JobRequestHandler.java
+++ b/src/main/java/gladeknot/jobs/JobRequestHandler.java
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void onNotUnfinished(PendingRequest.Cancellation cancellation) {
+    public void onNoUnfinishedJob(PendingRequest.Cancellation cancellation) {
       cancel(cancellation.request(), cancellation.jobId());
     }
   }
@@ -97,10 +97,10 @@
     if (refuseWhileStale(request)) {
       return;
     }
-    proceed(request, validator.validate(spec));
+    handleOutcome(request, validator.validate(spec));
   }
 
-  private void proceed(long request, SubmissionOutcome outcome) {
+  private void handleOutcome(long request, SubmissionOutcome outcome) {
     if (outcome instanceof SubmissionOutcome.Accepted accepted) {
       committer.submit(request, accepted.spec());
     } else if (outcome instanceof SubmissionOutcome.AlreadyAccepted alreadyAccepted) {
@@ -111,7 +111,7 @@
       answers.retryLater(request, retryLater.reason());
     } else if (outcome instanceof SubmissionOutcome.NeedsReadBarrier needsBarrier) {
       JobSpec spec = needsBarrier.spec();
-      afterReadBarrier(request, () -> proceed(request, validator.validateDependencies(spec)));
+      afterReadBarrier(request, () -> handleOutcome(request, validator.validateDependencies(spec)));
     }
   }
 
@@ -151,7 +151,7 @@
 
   /** Cancels a job. A finished job stays as it is, and the answer is its final phase. */
   public void cancel(long request, String id) {
-    if (answerIfNothingToCancel(request, id) || refuseWhileStale(request)) {
+    if (answerFinalPhaseIfFinished(request, id) || refuseWhileStale(request)) {
       return;
     }
     if (jobs.unfinished(id) != null) {
@@ -162,7 +162,7 @@
   }
 
   private void cancelIfKnown(long request, String id) {
-    if (answerIfNothingToCancel(request, id)) {
+    if (answerFinalPhaseIfFinished(request, id)) {
       return;
     }
     if (jobs.unfinished(id) != null) {
@@ -172,7 +172,7 @@
     }
   }
 
-  private boolean answerIfNothingToCancel(long request, String id) {
+  private boolean answerFinalPhaseIfFinished(long request, String id) {
     Job job = jobs.finished(id);
     if (job != null) {
       answers.finalPhase(request, job);
--- a/src/main/java/gladeknot/jobs/RequestCommitter.java
+++ b/src/main/java/gladeknot/jobs/RequestCommitter.java
@@ -23,7 +23,7 @@
     void onAlreadyAccepted(PendingRequest.Submission submission);
 
     /** Handles a cancellation whose job is not, or no longer, unfinished. */
-    void onNotUnfinished(PendingRequest.Cancellation cancellation);
+    void onNoUnfinishedJob(PendingRequest.Cancellation cancellation);
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(RequestCommitter.class);
@@ -157,7 +157,7 @@
   private void addCancellation(PendingRequest.Cancellation cancellation, RequestBatch batch) {
     Job job = jobs.unfinished(cancellation.jobId());
     if (job == null) {
-      outdatedRequests.onNotUnfinished(cancellation);
+      outdatedRequests.onNoUnfinishedJob(cancellation);
       return;
     }
     batch.addCancellation(cancellation, job);
