--- a/src/main/java/gladeknot/fleet/ForecastBuilder.java
+++ b/src/main/java/gladeknot/fleet/ForecastBuilder.java
@@ -86,7 +86,7 @@
       return Forecast.NEVER;
     }
     long minDelayMicros = owned ? MIN_START_DELAY_MICROS : 0;
-    return clock.nowMicros() + Math.max(minDelayMicros, type.readyMicros() - ageMicros);
+    return clock.nowMicros() + Math.max(minDelayMicros, type.bootMicros() - ageMicros);
   }
 
   private boolean isUsable(Worker worker) {
@@ -101,7 +101,7 @@
    */
   private boolean isOverdue(Worker worker, MachineType type, long ageMicros) {
     long overdueAgeMicros =
-        OVERDUE_BOOTS * type.readyMicros() + WorkerHealth.HEARTBEAT_TIMEOUT_MICROS;
+        OVERDUE_BOOTS * type.bootMicros() + WorkerHealth.HEARTBEAT_TIMEOUT_MICROS;
     long ownedMicros = clock.nowMicros() - membership.ownedSinceMicros(worker.shard());
     return ageMicros > overdueAgeMicros && ownedMicros > health.returnGraceMicros();
   }
--- a/src/main/java/gladeknot/fleet/InstanceCatalog.java
+++ b/src/main/java/gladeknot/fleet/InstanceCatalog.java
@@ -115,7 +115,7 @@
    * microseconds.
    */
   static long startDelayMicros(JobSpec spec, MachineType type) {
-    return type.readyMicros() + fetchMicros(spec, type);
+    return type.bootMicros() + fetchMicros(spec, type);
   }
 
   /** Returns how long a machine of a type takes to fetch a job's image, in microseconds. */
--- a/src/main/java/gladeknot/fleet/MachineTimeline.java
+++ b/src/main/java/gladeknot/fleet/MachineTimeline.java
@@ -53,7 +53,7 @@
    */
   static MachineTimeline ofRequested(InstanceOffering offering, int shard, long nowMicros) {
     MachineType type = offering.type();
-    long fromMicros = nowMicros + type.readyMicros();
+    long fromMicros = nowMicros + type.bootMicros();
     return new MachineTimeline(
         type, offering.zone(), offering.spot(), shard, fromMicros, List.of());
   }
--- a/src/main/java/gladeknot/fleet/OfferingSelector.java
+++ b/src/main/java/gladeknot/fleet/OfferingSelector.java
@@ -130,7 +130,7 @@
   private double score(InstanceOffering offering, InstanceRequest request, long runningMicros) {
     MachineType type = offering.type();
     double score = offering.price() / Math.min(type.fits(request.spec()), request.count());
-    score *= 1 + type.readyMicros() / BOOT_PENALTY_MICROS;
+    score *= 1 + type.bootMicros() / BOOT_PENALTY_MICROS;
     if (runningMicros > request.latestStartMicros()) {
       score +=
           LATENESS_COST_PER_SECOND
--- a/src/main/java/gladeknot/fleet/ScaleIn.java
+++ b/src/main/java/gladeknot/fleet/ScaleIn.java
@@ -141,7 +141,7 @@
    */
   private Optional<Reason> releaseReasonWithoutHeartbeat(Worker worker, int shard, boolean busy) {
     MachineType type = catalog.type(worker.type());
-    long readyMicros = type == null ? DEFAULT_READY_MICROS : type.readyMicros();
+    long readyMicros = type == null ? DEFAULT_READY_MICROS : type.bootMicros();
     long ageMicros = Math.max(0, clock.wallMicros() - worker.launchedWallMicros());
     long ownedMicros = clock.nowMicros() - membership.ownedSinceMicros(shard);
     long graceMicros = busy ? health.lossTimeoutMicros() : health.returnGraceMicros();
--- a/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
@@ -56,7 +56,7 @@
 
   private void addWorker(Worker worker, MachineType type, long wallMicros) {
     // A machine that should be ready by now and runs nothing while work is pending is of no use.
-    boolean launching = wallMicros - worker.launchedWallMicros() < READY_TIMES * type.readyMicros();
+    boolean launching = wallMicros - worker.launchedWallMicros() < READY_TIMES * type.bootMicros();
     if (launching || !worker.attempts().isEmpty()) {
       add(type, type.cpus(), type.gpus());
     }
--- a/src/main/java/gladeknot/workers/MachineType.java
+++ b/src/main/java/gladeknot/workers/MachineType.java
@@ -14,7 +14,7 @@
  * @param fetchGbPerS rate at which images are fetched, in GB per second
  * @param price price of an on-demand instance per hour
  * @param spotPrice price of a spot instance per hour
- * @param readyMicros time that an instance takes to boot, in microseconds
+ * @param bootMicros time that an instance takes to boot, in microseconds
  * @param zones zones that offer the type
  */
 public record MachineType(
@@ -26,7 +26,7 @@
     double fetchGbPerS,
     double price,
     double spotPrice,
-    long readyMicros,
+    long bootMicros,
     List<String> zones) {
 
   /** Returns the number of tasks of a job that fit on an empty machine. */
--- a/src/test/java/gladeknot/fleet/CloudCodecTest.java
+++ b/src/test/java/gladeknot/fleet/CloudCodecTest.java
@@ -99,7 +99,7 @@
     MachineType type =
         CloudCodec.machineTypes(reply(200, "{\"hosttypes\":[{\"label\":\"bare\"}]}")).get(0);
     assertEquals(0.1, type.fetchGbPerS());
-    assertEquals(30_000_000, type.readyMicros());
+    assertEquals(30_000_000, type.bootMicros());
     assertEquals(List.of(), type.zones());
   }
 }
