--- a/src/main/java/gladeknot/http/HttpCallHandler.java
+++ b/src/main/java/gladeknot/http/HttpCallHandler.java
@@ -14,7 +14,8 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * The end of an outgoing connection's pipeline: sends one request at a time, takes its response.
+ * Last handler in the pipeline of an outgoing connection: sends one request at a time and receives
+ * its response.
  */
 final class HttpCallHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
   private final IdleConnections idleConnections;
@@ -24,10 +25,10 @@
     this.idleConnections = idleConnections;
   }
 
-  /** Sends the request of an exchange; the connection has to be idle. */
+  /** Sends the request of an exchange; the connection must be idle. */
   void send(Channel channel, HttpExchange newExchange) {
     exchange = newExchange;
-    newExchange.sentOn(channel);
+    newExchange.setChannel(channel);
     channel.writeAndFlush(request(newExchange.call()));
   }
 
@@ -71,7 +72,7 @@
     idleConnections.close(ctx.channel());
     HttpExchange unanswered = takeExchange();
     if (unanswered != null) {
-      // A closed connection says nothing about the request on it: no reply came.
+      // Whether the service carried out the request is unknown; only the reply is missing.
       unanswered.endWithoutReply();
     }
   }
--- a/src/main/java/gladeknot/http/HttpCaller.java
+++ b/src/main/java/gladeknot/http/HttpCaller.java
@@ -15,39 +15,40 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 
-/** Calls other services over kept connections, one request at a time on each. */
+/** Calls other services over persistent connections, with one request at a time on each. */
 public final class HttpCaller {
   private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
-  private static final long MAX_CONNECT_MILLIS = 2000;
+  private static final long MAX_CONNECT_TIMEOUT_MILLIS = 2000;
   private static final long MICROS_PER_MILLI = 1000;
 
   /**
-   * Idle connections kept in all. Commands go to every machine some time: kept for each of them,
-   * they would use up the sockets that workers and users need.
+   * Maximum number of idle connections to all addresses together. Commands reach every machine
+   * sooner or later; one idle connection per machine would use up the sockets that workers and
+   * users need.
    */
-  static final int MAX_IDLE = 64;
+  static final int MAX_IDLE_CONNECTIONS = 64;
 
-  /** Takes a reply in. */
+  /** Receives the replies to calls. */
   public interface Handler {
-    /** The reply to a call, on a thread of the event loop; status 0 says that none came. */
-    void reply(long id, Outbox.Reply reply);
+    /** Handles the reply to a call, on the event loop's thread; status 0 means that none came. */
+    void onReply(long id, Outbox.Reply reply);
   }
 
   private final EventLoopGroup group;
   private final Handler handler;
-  private final IdleConnections idleConnections = new IdleConnections(MAX_IDLE);
+  private final IdleConnections idleConnections = new IdleConnections(MAX_IDLE_CONNECTIONS);
 
-  /** A caller whose replies go to the handler, on a thread of the group. */
+  /** Creates a caller that passes replies to the handler, on a thread of the group. */
   public HttpCaller(EventLoopGroup group, Handler handler) {
     this.group = group;
     this.handler = handler;
   }
 
-  /** Sends a call; a reply or its absence always comes, within the call's time. */
+  /** Sends a call; the handler always gets a reply or status 0 within the call's timeout. */
   public void call(Outbox.Call call) {
     Channel idle = idleConnections.take(call.address());
     HttpExchange exchange = new HttpExchange(call, handler);
-    exchange.endAfter(
+    exchange.setTimeout(
         group
             .next()
             .schedule(exchange::endWithoutReply, call.timeoutMicros(), TimeUnit.MICROSECONDS));
@@ -64,15 +65,15 @@
         .group(group)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis(call))
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis(call))
         .handler(new ConnectionInitializer())
         .connect(parseAddress(call.address()))
-        .addListener((ChannelFuture connected) -> onConnectDone(connected, exchange));
+        .addListener((ChannelFuture connectFuture) -> onConnectComplete(connectFuture, exchange));
   }
 
-  private static int connectMillis(Outbox.Call call) {
+  private static int connectTimeoutMillis(Outbox.Call call) {
     long callMillis = call.timeoutMicros() / MICROS_PER_MILLI;
-    return (int) Math.max(1, Math.min(callMillis, MAX_CONNECT_MILLIS));
+    return (int) Math.max(1, Math.min(callMillis, MAX_CONNECT_TIMEOUT_MILLIS));
   }
 
   private static InetSocketAddress parseAddress(String address) {
@@ -81,13 +82,13 @@
         address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
   }
 
-  private static void onConnectDone(ChannelFuture connected, HttpExchange exchange) {
-    if (!connected.isSuccess()) {
+  private static void onConnectComplete(ChannelFuture connectFuture, HttpExchange exchange) {
+    if (!connectFuture.isSuccess()) {
       exchange.endWithoutReply();
     } else if (exchange.hasEnded()) {
-      connected.channel().close();
+      connectFuture.channel().close();
     } else {
-      send(connected.channel(), exchange);
+      send(connectFuture.channel(), exchange);
     }
   }
 
--- a/src/main/java/gladeknot/http/HttpExchange.java
+++ b/src/main/java/gladeknot/http/HttpExchange.java
@@ -4,9 +4,9 @@
 import io.netty.channel.Channel;
 import java.util.concurrent.Future;
 
-/** A call that is under way; it ends once, with a reply or without. */
+/** A call in progress; it ends exactly once, with a reply or without. */
 final class HttpExchange {
-  private static final int NO_REPLY = 0;
+  private static final int NO_REPLY_STATUS = 0;
   private static final byte[] NO_BODY = new byte[0];
 
   private final Outbox.Call call;
@@ -28,13 +28,13 @@
     return ended;
   }
 
-  /** Notes the timeout that ends the exchange unless a reply comes before. */
-  void endAfter(Future<?> scheduledTimeout) {
+  /** Sets the timeout that ends the exchange unless a reply comes first. */
+  void setTimeout(Future<?> scheduledTimeout) {
     timeout = scheduledTimeout;
   }
 
-  /** Notes the connection that the request is sent on. */
-  void sentOn(Channel usedChannel) {
+  /** Sets the connection that the request is sent on. */
+  void setChannel(Channel usedChannel) {
     channel = usedChannel;
   }
 
@@ -42,9 +42,9 @@
     end(status, body);
   }
 
-  /** Ends without a reply; its connection is closed, since one might still come on it. */
+  /** Ends without a reply and closes the connection, since a late reply might still come on it. */
   void endWithoutReply() {
-    end(NO_REPLY, NO_BODY);
+    end(NO_REPLY_STATUS, NO_BODY);
   }
 
   private void end(int status, byte[] body) {
@@ -53,9 +53,9 @@
     }
     ended = true;
     timeout.cancel(false);
-    if (status == NO_REPLY && channel != null) {
+    if (status == NO_REPLY_STATUS && channel != null) {
       channel.close();
     }
-    handler.reply(call.id(), new Outbox.Reply(status, body));
+    handler.onReply(call.id(), new Outbox.Reply(status, body));
   }
 }
--- a/src/main/java/gladeknot/http/HttpRequestHandler.java
+++ b/src/main/java/gladeknot/http/HttpRequestHandler.java
@@ -11,22 +11,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The end of an incoming connection's pipeline: hands requests on, and closes unused ones. */
+/**
+ * Last handler in the pipeline of an incoming connection: passes requests to the server's handler,
+ * and closes the connection if no request comes on it.
+ */
 final class HttpRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
   private static final Logger LOG = LoggerFactory.getLogger(HttpRequestHandler.class);
   private static final int BAD_REQUEST = 400;
 
-  /** After so long without a first request a connection is closed. */
-  private static final long FIRST_REQUEST_SECONDS = 10;
+  /** Time after which a connection without any request is closed. */
+  private static final long FIRST_REQUEST_TIMEOUT_SECONDS = 10;
 
-  /** The request of a connection that has had none. */
+  /** Value of {@link #newestRequest} before the first request. */
   private static final long NO_REQUEST = 0;
 
   private final HttpServer server;
   private final HttpServer.Handler handler;
   private final ServerConnections connections;
 
-  /** The newest request; it stays when it is answered. */
+  /** Id of the newest request; kept after the request is answered. */
   private long newestRequest = NO_REQUEST;
 
   HttpRequestHandler(HttpServer server, HttpServer.Handler handler, ServerConnections connections) {
@@ -38,10 +41,14 @@
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
     connections.add(ctx.channel());
-    ctx.executor().schedule(() -> closeIfUnused(ctx), FIRST_REQUEST_SECONDS, TimeUnit.SECONDS);
+    ctx.executor()
+        .schedule(() -> closeIfUnused(ctx), FIRST_REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  /** Connections that were used once are closed by their clients, or when there are too many. */
+  /**
+   * Closes the connection if no request has come on it. A connection that has had a request is left
+   * to its client to close, or is closed when there are too many connections.
+   */
   private void closeIfUnused(ChannelHandlerContext ctx) {
     if (newestRequest == NO_REQUEST) {
       ctx.close();
@@ -59,7 +66,7 @@
       return;
     }
     byte[] body = ByteBufUtil.getBytes(request.content());
-    handler.request(id, request.method().name(), request.uri(), body);
+    handler.onRequest(id, request.method().name(), request.uri(), body);
   }
 
   @Override
--- a/src/main/java/gladeknot/http/HttpServer.java
+++ b/src/main/java/gladeknot/http/HttpServer.java
@@ -21,20 +21,21 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Serves HTTP/1.1 on one event loop; every request is handed on with a number for its answer. */
+/** Serves HTTP/1.1 on one event loop; each request gets an id by which it is answered. */
 public final class HttpServer {
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
   /**
-   * When other controllers end, all their workers and users connect at once: above 4,000 machines.
-   * The system may allow less; who is refused comes again.
+   * Maximum number of connections waiting to be accepted. When other controllers fail, all their
+   * workers and users connect at once, from more than 4,000 machines. The operating system may
+   * impose a lower limit; refused clients retry.
    */
   private static final int BACKLOG = 8192;
 
-  /** Takes a request in. */
+  /** Receives requests. */
   public interface Handler {
-    /** A request, to be answered by its id, on the event loop's thread. */
-    void request(long id, String method, String path, byte[] body);
+    /** Handles a request, on the event loop's thread; it is to be answered by its id. */
+    void onRequest(long id, String method, String path, byte[] body);
   }
 
   private record OpenRequest(Channel channel, boolean keepAlive) {}
@@ -44,7 +45,7 @@
   private final Map<Long, OpenRequest> openRequests = new HashMap<>();
   private long nextId = 1;
 
-  /** A server for at most so many connections; requests go to the handler. */
+  /** Creates a server that passes requests to the handler and limits its open connections. */
   public HttpServer(Handler handler, int maxConnections) {
     this.handler = handler;
     this.connections = new ServerConnections(maxConnections);
@@ -76,24 +77,24 @@
     }
   }
 
-  /** How many connections are open. */
-  int connections() {
+  /** Returns the number of open connections. */
+  int connectionCount() {
     return connections.count();
   }
 
-  /** Opens a request on a connection; returns the id that it is answered by. */
+  /** Registers a request on a connection; returns the id by which it is answered. */
   long open(Channel channel, boolean keepAlive) {
     long id = nextId++;
     openRequests.put(id, new OpenRequest(channel, keepAlive));
     return id;
   }
 
-  /** Forgets a request whose client has gone. */
+  /** Discards a request whose client has disconnected. */
   void abandon(long id) {
     openRequests.remove(id);
   }
 
-  /** Sends an answer; one whose client has gone is dropped. */
+  /** Sends an answer; drops it if the client has disconnected. */
   public void answer(Outbox.Answer answer) {
     OpenRequest request = openRequests.remove(answer.request());
     if (request == null || !request.channel().isActive()) {
--- a/src/main/java/gladeknot/http/IdleConnections.java
+++ b/src/main/java/gladeknot/http/IdleConnections.java
@@ -6,21 +6,24 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Idle connections that are kept for later calls, a few for each address and so many in all. */
+/** Idle connections kept for later calls, limited in number per address and in total. */
 final class IdleConnections {
   private static final int MAX_PER_ADDRESS = 4;
 
   private final int maxConnections;
   private final Map<String, ArrayDeque<Channel>> byAddress = new HashMap<>();
 
-  /** All idle connections with their addresses, the one idle for longest first. */
-  private final LinkedHashMap<Channel, String> addresses = new LinkedHashMap<>();
+  /** Address of each idle connection, in the order of idle time, the longest idle first. */
+  private final LinkedHashMap<Channel, String> addressByChannel = new LinkedHashMap<>();
 
   IdleConnections(int maxConnections) {
     this.maxConnections = maxConnections;
   }
 
-  /** Takes the open connection to an address that was used last; null if there is none. */
+  /**
+   * Removes and returns the most recently used open connection to an address; null if there is
+   * none.
+   */
   Channel take(String address) {
     ArrayDeque<Channel> idle = byAddress.get(address);
     if (idle == null) {
@@ -29,7 +32,7 @@
     Channel channel = null;
     while (channel == null && !idle.isEmpty()) {
       Channel latest = idle.pollLast();
-      addresses.remove(latest);
+      addressByChannel.remove(latest);
       channel = latest.isActive() ? latest : null;
     }
     if (idle.isEmpty()) {
@@ -38,21 +41,21 @@
     return channel;
   }
 
-  /** Keeps a connection; if there are too many, the one idle for longest is closed. */
+  /** Adds a connection; if there are then too many, closes the one idle for longest. */
   void add(String address, Channel channel) {
     ArrayDeque<Channel> idle = byAddress.computeIfAbsent(address, absent -> new ArrayDeque<>());
     idle.addLast(channel);
-    addresses.put(channel, address);
+    addressByChannel.put(channel, address);
     if (idle.size() > MAX_PER_ADDRESS) {
       close(idle.peekFirst());
-    } else if (addresses.size() > maxConnections) {
-      close(addresses.keySet().iterator().next());
+    } else if (addressByChannel.size() > maxConnections) {
+      close(addressByChannel.keySet().iterator().next());
     }
   }
 
-  /** Closes a connection, if it is still open, and no longer keeps it. */
+  /** Removes a connection and closes it if it is still open. */
   void close(Channel channel) {
-    String address = addresses.remove(channel);
+    String address = addressByChannel.remove(channel);
     if (address != null) {
       ArrayDeque<Channel> idle = byAddress.get(address);
       idle.remove(channel);
--- a/src/main/java/gladeknot/http/ServerConnections.java
+++ b/src/main/java/gladeknot/http/ServerConnections.java
@@ -3,11 +3,13 @@
 import io.netty.channel.Channel;
 import java.util.LinkedHashMap;
 
-/** The server's open connections; their number stays bounded. */
+/** The server's open connections, limited in number. */
 final class ServerConnections {
   private final int maxConnections;
 
-  /** In the order of their last use, the one unused for longest first. */
+  /**
+   * Open connections in access order, the least recently used first; the values have no meaning.
+   */
   private final LinkedHashMap<Channel, Boolean> byLastUse = new LinkedHashMap<>(64, 0.75f, true);
 
   ServerConnections(int maxConnections) {
@@ -18,7 +20,7 @@
     return byLastUse.size();
   }
 
-  /** Adds a new connection; if there are too many, the one unused for longest is closed. */
+  /** Adds a new connection; if there are then too many, closes the least recently used one. */
   void add(Channel channel) {
     byLastUse.put(channel, true);
     if (byLastUse.size() > maxConnections) {
@@ -26,9 +28,9 @@
     }
   }
 
-  /** Notes that a connection is used now. */
+  /** Marks a connection as the most recently used. */
   void touch(Channel channel) {
-    // In access order, a look-up makes it the last one.
+    // In an access-ordered map, a lookup moves the entry to the end.
     byLastUse.get(channel);
   }
 
