--- a/src/main/java/gladeknot/settings/FeatureReader.java
+++ b/src/main/java/gladeknot/settings/FeatureReader.java
@@ -13,25 +13,25 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads the files that turn features on, collecting every fault of every file. */
+/** Reads the files that turn features on and collects the faults of all files. */
 public final class FeatureReader {
-  private static final String FIELD_NAME = "feature";
+  private static final String FEATURE_FIELD = "feature";
 
   private final List<String> faults = new ArrayList<>();
-  private final Map<String, Path> readFrom = new HashMap<>();
+  private final Map<String, Path> fileByFeature = new HashMap<>();
   private Optional<PartialCuts> partialCuts = Optional.empty();
 
   /**
-   * What reading has come to.
+   * Result of reading the feature files.
    *
    * @param features the features; null if there are faults
-   * @param faults what keeps the features from being used, each with its file; empty if nothing
+   * @param faults the faults found, each with its file and field; empty if there are none
    */
   public record Result(Features features, List<String> faults) {}
 
   private FeatureReader() {}
 
-  /** Reads all files; each turns one feature on. */
+  /** Reads all files; each file turns one feature on. */
   public static Result read(List<Path> files) {
     FeatureReader reader = new FeatureReader();
     files.forEach(reader::readFile);
@@ -41,30 +41,30 @@
   }
 
   private void readFile(Path file) {
-    List<String> found = new ArrayList<>();
+    List<String> fileFaults = new ArrayList<>();
     try {
       byte[] text = Files.readAllBytes(file);
       Object root = JSON.builder(new TomlFactory()).build().anyFrom(text);
-      readFeature(file, new StrictTable(Json.map(root), "", found));
+      readFeature(file, new StrictTable(Json.map(root), "", fileFaults));
     } catch (JsonProcessingException e) {
-      found.add("not TOML: " + e.getOriginalMessage());
+      fileFaults.add("not TOML: " + e.getOriginalMessage());
     } catch (IOException e) {
-      found.add("can't be read: " + e.getMessage());
+      fileFaults.add("can't be read: " + e.getMessage());
     }
-    found.forEach(fault -> faults.add(file + ": " + fault));
+    fileFaults.forEach(fault -> faults.add(file + ": " + fault));
   }
 
   private void readFeature(Path file, StrictTable root) {
-    String name = root.text(FIELD_NAME);
+    String name = root.text(FEATURE_FIELD);
     if (!name.equals(PartialCuts.NAME)) {
       if (!name.isEmpty()) {
-        root.fault(FIELD_NAME, "unknown feature " + name + "; known: " + PartialCuts.NAME);
+        root.fault(FEATURE_FIELD, "unknown feature " + name + "; known: " + PartialCuts.NAME);
       }
       return;
     }
-    Path before = readFrom.putIfAbsent(name, file);
-    if (before != null) {
-      root.fault(FIELD_NAME, name + " is turned on by " + before + " too");
+    Path otherFile = fileByFeature.putIfAbsent(name, file);
+    if (otherFile != null) {
+      root.fault(FEATURE_FIELD, name + " is turned on by " + otherFile + " too");
     }
     partialCuts = Optional.of(PartialCuts.read(root));
     root.rejectUnknown();
--- a/src/main/java/gladeknot/settings/Features.java
+++ b/src/main/java/gladeknot/settings/Features.java
@@ -8,6 +8,6 @@
  * @param partialCuts the settings for partial partitions; empty if the feature is off
  */
 public record Features(Optional<PartialCuts> partialCuts) {
-  /** No feature beyond what every controller does. */
+  /** All features off. */
   public static final Features NONE = new Features(Optional.empty());
 }
--- a/src/main/java/gladeknot/settings/ObjectiveKind.java
+++ b/src/main/java/gladeknot/settings/ObjectiveKind.java
@@ -1,28 +1,28 @@
 package gladeknot.settings;
 
-/** What a service-level objective measures; the settings file names it by a word. */
+/** Quantity that a service-level objective measures, with its name in the settings file. */
 public enum ObjectiveKind {
-  /** The time from a job's submission until its tasks run. */
+  /** Time from a job's submission until its tasks run. */
   WAIT("wait"),
-  /** Whether jobs with a deadline are done within a multiple of it. */
+  /** Completion of jobs that have a deadline within a multiple of that deadline. */
   DEADLINE("deadline"),
-  /** The time from a job's submission until it is done. */
+  /** Time from a job's submission until it is completed. */
   FINISHED("finished"),
-  /** The share of the time in which a team has the resources of its guarantee. */
+  /** Fraction of the time in which a team has the resources that its guarantee promises. */
   GUARANTEE("guarantee"),
-  /** Any other kind; the settings file may hold it, and no decision depends on it. */
+  /** Any other kind. The settings file may contain it; no decision depends on it. */
   OTHER("");
 
-  private final String word;
+  private final String settingName;
 
-  ObjectiveKind(String word) {
-    this.word = word;
+  ObjectiveKind(String settingName) {
+    this.settingName = settingName;
   }
 
-  /** The kind that a settings file names; {@link #OTHER} for a word that is not known, or null. */
-  static ObjectiveKind ofWord(String word) {
+  /** Returns the kind with this name in the settings file; {@link #OTHER} if unknown or null. */
+  static ObjectiveKind ofSettingName(String settingName) {
     for (ObjectiveKind kind : values()) {
-      if (kind != OTHER && kind.word.equals(word)) {
+      if (kind != OTHER && kind.settingName.equals(settingName)) {
         return kind;
       }
     }
--- a/src/main/java/gladeknot/settings/PartialCuts.java
+++ b/src/main/java/gladeknot/settings/PartialCuts.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * Settings of the feature {@code partial-cuts}, for asymmetric and partial network partitions: how
- * links are judged, when shards change owners by that, and what is reported of it. Durations in
- * microseconds.
+ * Settings of the feature {@code partial-cuts}, which handles asymmetric and partial network
+ * partitions: the rules for link verdicts, the ownership transfers that follow from them, and the
+ * reporting of both. Durations are in microseconds.
  */
 public record PartialCuts(
     Links links,
@@ -13,17 +13,32 @@
     Handover handover,
     Optional<Status> status,
     Optional<Tracing> tracing) {
-  /** The name by which a file turns the feature on. */
+  /** Name that turns the feature on in a feature file. */
   public static final String NAME = "partial-cuts";
 
-  /** When a direction of a link is suspect, unreachable and well again. */
+  /**
+   * Rules for the verdict on a direction of a link.
+   *
+   * @param suspectAfterMicros time overdue after which a direction is suspect
+   * @param unreachableAfterMicros time overdue after which a direction is unreachable
+   * @param probationMicros time that a direction must work again before it counts as reachable
+   * @param heartbeatMicros interval between reachability reports to each other controller
+   */
   public record Links(
       long suspectAfterMicros,
       long unreachableAfterMicros,
       long probationMicros,
       long heartbeatMicros) {}
 
-  /** How changes of links and owners are damped, after RFC 2439. */
+  /**
+   * Damping of frequent changes of links and owners, after RFC 2439.
+   *
+   * @param penaltyPerChange penalty added by each change
+   * @param suppressAbove penalty above which the link or shard is suppressed
+   * @param reuseBelow penalty below which the suppression ends
+   * @param halfLifeMicros time in which a penalty decays to half
+   * @param mostSuppressedMicros maximum duration of a suppression after the last change
+   */
   public record Damping(
       double penaltyPerChange,
       double suppressAbove,
@@ -32,21 +47,26 @@
       long mostSuppressedMicros) {}
 
   /**
-   * Whether shards are offered, after how long without use, and how long who takes one keeps it.
+   * Offers of shards that their owner can't use to other controllers.
+   *
+   * @param enabled whether shards are offered
+   * @param offerAfterMicros time without use after which a shard is offered
+   * @param keepMicros time that a controller keeps a shard it has taken before the shard returns to
+   *     its home controller
    */
   public record Handover(boolean enabled, long offerAfterMicros, long keepMicros) {}
 
-  /** Where the operators' listener listens, as host:port. */
+  /** Address of the operators' listener, as host:port. */
   public record Status(String listen) {}
 
-  /** The file that spans are written to, and its largest size in bytes. */
+  /** File that spans are written to, and its maximum size in bytes. */
   public record Tracing(String file, long maxBytes) {}
 
   private static final double MAX_SECONDS = 3600;
   private static final double MAX_PENALTY = 1e6;
   private static final double BYTES_PER_MB = 1024.0 * 1024.0;
 
-  /** Reads the feature's tables; what is wrong with them goes to the tables' faults. */
+  /** Reads the feature's tables and adds their faults to the fault list of the root table. */
   static PartialCuts read(StrictTable root) {
     Links links = readLinks(root.table("links"));
     Damping damping = readDamping(root.table("damping"));
@@ -59,8 +79,8 @@
     Handover handover =
         new Handover(
             table.flag("enabled", true),
-            table.micros("offer_after_s", 1.0, 0.1, MAX_SECONDS),
-            table.micros("keep_s", 30.0, 0, MAX_SECONDS));
+            table.secondsAsMicros("offer_after_s", 1.0, 0.1, MAX_SECONDS),
+            table.secondsAsMicros("keep_s", 30.0, 0, MAX_SECONDS));
     table.rejectUnknown();
     return handover;
   }
@@ -78,10 +98,10 @@
   private static Links readLinks(StrictTable table) {
     Links links =
         new Links(
-            table.micros("suspect_after_s", 1.5, 0.1, MAX_SECONDS),
-            table.micros("unreachable_after_s", 4.0, 0.1, MAX_SECONDS),
-            table.micros("probation_s", 5.0, 0, MAX_SECONDS),
-            table.micros("heartbeat_s", 1.0, 0.1, 60));
+            table.secondsAsMicros("suspect_after_s", 1.5, 0.1, MAX_SECONDS),
+            table.secondsAsMicros("unreachable_after_s", 4.0, 0.1, MAX_SECONDS),
+            table.secondsAsMicros("probation_s", 5.0, 0, MAX_SECONDS),
+            table.secondsAsMicros("heartbeat_s", 1.0, 0.1, 60));
     if (links.unreachableAfterMicros() <= links.suspectAfterMicros()) {
       table.fault("unreachable_after_s", "must be above suspect_after_s");
     }
@@ -95,8 +115,8 @@
             table.number("penalty_per_change", 1000, 0, MAX_PENALTY),
             table.number("suppress_above", 2000, 1, MAX_PENALTY),
             table.number("reuse_below", 800, 1, MAX_PENALTY),
-            table.micros("half_life_s", 30, 0.1, MAX_SECONDS),
-            table.micros("most_suppressed_s", 60, 0.1, MAX_SECONDS));
+            table.secondsAsMicros("half_life_s", 30, 0.1, MAX_SECONDS),
+            table.secondsAsMicros("most_suppressed_s", 60, 0.1, MAX_SECONDS));
     if (damping.suppressAbove() <= damping.reuseBelow()) {
       table.fault("suppress_above", "must be above reuse_below");
     }
--- a/src/main/java/gladeknot/settings/Settings.java
+++ b/src/main/java/gladeknot/settings/Settings.java
@@ -7,25 +7,26 @@
 import java.util.stream.Stream;
 
 /**
- * What the platform sets, the same for the life of a process. Durations are in microseconds, sizes
- * in bytes, addresses host:port.
+ * Settings from the platform, constant for the life of a process. Durations are in microseconds,
+ * sizes in bytes, addresses in the form host:port.
  *
  * @param node this controller's name
- * @param zone the zone that it runs in; null if the file names none
- * @param clientListen where it listens for users and workers
- * @param peerListen where it listens for the other controllers
+ * @param zone this controller's zone; null if the file names none
+ * @param clientListen address of the listener for users and workers
+ * @param peerListen address of the listener for the other controllers
  * @param members the other controllers
- * @param cloudAddress the cloud's interface
- * @param stateAddress the state store
- * @param zones the zones that machines can be in
- * @param clockErrorMicros by how much two clocks may differ
+ * @param cloudAddress address of the cloud's interface
+ * @param stateAddress address of the state service
+ * @param zones zones that machines can be in
+ * @param clockErrorMicros maximum difference between two clocks
  * @param teams the teams by name
  * @param objectives the service-level objectives, in the order of the file
- * @param workers the workers' timing
- * @param stateLimits what the state store takes now
- * @param nextStateLimits what it will take after an announced change; the same if there is none
- * @param cloudLimits what the cloud takes
- * @param maxConnections how many sockets the process may have
+ * @param workers timing of the workers
+ * @param stateLimits current limits of the state service
+ * @param nextStateLimits limits of the state service after an announced change; equal to {@code
+ *     stateLimits} if none is announced
+ * @param cloudLimits limits of the cloud
+ * @param maxConnections maximum number of sockets of the process
  */
 public record Settings(
     String node,
@@ -48,44 +49,45 @@
   /** Another controller. */
   public record Member(String node, String zone, String address) {}
 
-  /** A team's guarantee and limit; CPUs and GPUs in thousandths. A limit of 0 is no limit. */
+  /** A team's guarantee and limit; CPUs and GPUs in thousandths. A limit of 0 means no limit. */
   public record Team(String name, long cpus, long cpusMax, long gpus, long gpusMax) {
-    /** Whether the team's CPUs are limited. */
+    /** Returns whether the team's CPUs are limited. */
     public boolean limitsCpus() {
       return cpusMax > 0;
     }
 
-    /** Whether the team's GPUs are limited. */
+    /** Returns whether the team's GPUs are limited. */
     public boolean limitsGpus() {
       return gpusMax > 0;
     }
 
-    /** Whether the team's tasks may use such amounts at once. */
-    public boolean allows(long useCpus, long useGpus) {
-      return (!limitsCpus() || useCpus <= cpusMax) && (!limitsGpus() || useGpus <= gpusMax);
+    /** Returns whether the team's limits allow these amounts in use at once. */
+    public boolean allows(long usedCpus, long usedGpus) {
+      return (!limitsCpus() || usedCpus <= cpusMax) && (!limitsGpus() || usedGpus <= gpusMax);
     }
   }
 
   /**
    * A service-level objective.
    *
-   * @param kind what it measures
-   * @param jobClass the class of jobs that it is for; null if the file names none
-   * @param withinMicros the time in which it is to happen; 0 where that does not apply
-   * @param share the share of the jobs that is to meet it
-   * @param times the multiple of the jobs' deadlines; 0 where that does not apply
+   * @param kind quantity that the objective measures
+   * @param jobClass class of jobs that the objective covers; null if the file names none
+   * @param withinMicros maximum time that meets the objective; 0 where none applies
+   * @param share fraction that is to meet the objective, such as a fraction of the jobs
+   * @param times multiple of the jobs' deadlines; 0 where none applies
    */
   public record Objective(
       ObjectiveKind kind, String jobClass, long withinMicros, double share, double times) {}
 
   /**
-   * The workers' timing.
+   * Timing of the workers.
    *
-   * @param heartbeatMicros between two heartbeats
-   * @param leaseMicros how long a lease lasts, from the sending of the heartbeat that renewed it
-   * @param gangWaitMicros for so long the tasks of a gang wait for each other to start
-   * @param gangPeerMicros within this the tasks of a running gang notice that one of them is gone
-   * @param cancelMicros within this after a cancellation no task may run any more
+   * @param heartbeatMicros interval between two heartbeats
+   * @param leaseMicros duration of a lease, from the sending of the heartbeat that renewed it
+   * @param gangWaitMicros maximum time that the tasks of a gang wait for each other to start
+   * @param gangPeerMicros maximum time in which the tasks of a running gang notice that one of them
+   *     is gone
+   * @param cancelMicros time after a cancellation by which no task of the job may run any more
    */
   public record Workers(
       long heartbeatMicros,
@@ -94,9 +96,16 @@
       long gangPeerMicros,
       long cancelMicros) {}
 
-  /** What the state store takes: requests and writes a second, bytes, operations. */
+  /**
+   * Limits of the state service.
+   *
+   * @param rps requests per second
+   * @param writeRps writes per second
+   * @param valueBytes size of a value
+   * @param txnOps operations in a transaction
+   */
   public record StateLimits(double rps, double writeRps, int valueBytes, int txnOps) {
-    /** The smaller of each of two limits. */
+    /** Returns the smaller value of each limit. */
     public StateLimits smaller(StateLimits other) {
       return new StateLimits(
           Math.min(rps, other.rps),
@@ -106,15 +115,18 @@
     }
   }
 
-  /** What the cloud takes: requests a second, and how old its lists of machines may be. */
+  /** Limits of the cloud: requests per second, and the maximum age of its lists of machines. */
   public record CloudLimits(double rps, long listLagMicros) {}
 
-  /** All controllers' names in order, this one's among them; a shard's number is its place here. */
+  /**
+   * Returns the names of all controllers, including this one, in sorted order. The index of a name
+   * is the number of that controller's home shard.
+   */
   public List<String> nodes() {
     return Stream.concat(Stream.of(node), members.stream().map(Member::node)).sorted().toList();
   }
 
-  /** The zones that have a controller. */
+  /** Returns the zones that have a controller. */
   public Set<String> controllerZones() {
     Set<String> controllerZones = new HashSet<>();
     controllerZones.add(zone);
--- a/src/main/java/gladeknot/settings/SettingsReader.java
+++ b/src/main/java/gladeknot/settings/SettingsReader.java
@@ -12,17 +12,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the platform's file, collecting every fault with the name of its field. */
+/** Reads the platform's settings file and collects all faults, each with the name of its field. */
 public final class SettingsReader {
   private static final double BYTES_PER_KIB = 1024;
 
-  /** A smaller value can't hold a job. */
+  /** Minimum size limit for a value: a job does not fit into a smaller one. */
   private static final double MIN_VALUE_KIB = 1;
 
-  /** A shard and its term are transferred together. */
-  private static final double MIN_OPERATIONS = 2;
+  /** Minimum limit for operations in a transaction: a shard and its term are written together. */
+  private static final double MIN_TRANSACTION_OPERATIONS = 2;
 
-  /** By how much cancelled tasks must outlive a lease at least. */
+  /** Minimum by which {@code cancel_s} must exceed {@code lease_s}. */
   private static final long MIN_CANCEL_ABOVE_LEASE_MICROS = 4_000_000;
 
   private static final int DEFAULT_MAX_CONNECTIONS = 1000;
@@ -30,16 +30,16 @@
   private final List<String> faults = new ArrayList<>();
 
   /**
-   * What reading has come to.
+   * Result of reading a settings file.
    *
    * @param settings the settings; null if there are faults
-   * @param faults what keeps the settings from being used, each with its field; empty if nothing
+   * @param faults the faults found, each with its field; empty if there are none
    */
   public record Result(Settings settings, List<String> faults) {}
 
   private SettingsReader() {}
 
-  /** Reads a file. */
+  /** Reads a settings file. */
   public static Result read(Path file) {
     Map<String, Object> root;
     try {
@@ -52,7 +52,7 @@
     return read(root);
   }
 
-  /** Reads a parsed file. */
+  /** Reads the settings from a parsed file. */
   public static Result read(Map<String, Object> root) {
     SettingsReader reader = new SettingsReader();
     Settings settings = reader.readRoot(new SettingsTable(root, "", reader.faults));
@@ -127,7 +127,7 @@
     for (SettingsTable objective : cluster.tables("objectives")) {
       objectives.add(
           new Settings.Objective(
-              ObjectiveKind.ofWord(objective.optionalText("kind")),
+              ObjectiveKind.ofSettingName(objective.optionalText("kind")),
               objective.optionalText("class"),
               objective.optionalSecondsAsMicros("within_s"),
               objective.optionalNumber("share", 0),
@@ -144,9 +144,9 @@
             table.secondsAsMicros("gang_wait_s"),
             table.secondsAsMicros("gang_peer_s"),
             table.secondsAsMicros("cancel_s"));
-    long minCancel = workers.leaseMicros() + MIN_CANCEL_ABOVE_LEASE_MICROS;
-    // After another fault the two may be values that the file does not hold.
-    if (faults.isEmpty() && workers.cancelMicros() < minCancel) {
+    long minCancelMicros = workers.leaseMicros() + MIN_CANCEL_ABOVE_LEASE_MICROS;
+    // After another fault, either duration may be a placeholder that is not in the file.
+    if (faults.isEmpty() && workers.cancelMicros() < minCancelMicros) {
       table.fault("cancel_s", "must be at least 4 s above lease_s");
     }
     return workers;
@@ -157,21 +157,21 @@
         table.positive("rps"),
         table.positive("write_rps"),
         (int) (table.atLeast("value_kb", MIN_VALUE_KIB) * BYTES_PER_KIB),
-        (int) table.atLeast("txn_ops", MIN_OPERATIONS));
+        (int) table.atLeast("txn_ops", MIN_TRANSACTION_OPERATIONS));
   }
 
-  /** The limits to come; what is not named stays as it is. */
+  /** Reads the announced limits; a limit that is not announced keeps its current value. */
   private static Settings.StateLimits readNextStateLimits(
-      SettingsTable state, Settings.StateLimits present) {
+      SettingsTable state, Settings.StateLimits current) {
     if (!state.has("next")) {
-      return present;
+      return current;
     }
     Map<String, Object> defaults =
         Json.of(
-            "rps", present.rps(),
-            "write_rps", present.writeRps(),
-            "value_kb", present.valueBytes() / BYTES_PER_KIB,
-            "txn_ops", present.txnOps());
+            "rps", current.rps(),
+            "write_rps", current.writeRps(),
+            "value_kb", current.valueBytes() / BYTES_PER_KIB,
+            "txn_ops", current.txnOps());
     return readStateLimits(state.table("next").withDefaults(defaults));
   }
 
--- a/src/main/java/gladeknot/settings/SettingsTable.java
+++ b/src/main/java/gladeknot/settings/SettingsTable.java
@@ -7,23 +7,23 @@
 import java.util.Map;
 
 /**
- * A table of the platform's settings file. Missing and malformed fields that are required become
- * faults and read as a harmless value; fields that nobody asks for are ignored, since the platform
- * may add some.
+ * A table of the platform's settings file. A required field that is missing or malformed adds a
+ * fault, and its placeholder value is harmless. Unknown fields are ignored, since the platform may
+ * add some.
  */
 final class SettingsTable {
   private static final double MICROS_PER_SECOND = 1e6;
-  private static final double MICROS_PER_MILLISECOND = 1000;
-  private static final double THOUSANDTHS = 1000;
+  private static final double MICROS_PER_MILLI = 1000;
+  private static final double THOUSANDTHS_PER_UNIT = 1000;
 
-  /** So that bytes and counts fit an int. */
+  /** Maximum for limits, so that sizes in bytes and counts fit an int. */
   private static final double MAX_LIMIT = 1_000_000;
 
   private final Map<String, Object> fields;
   private final String path;
   private final List<String> faults;
 
-  /** A table whose fields are named with the path before them in the faults. */
+  /** Creates a table; its faults name each field with the path as a prefix. */
   SettingsTable(Map<String, Object> fields, String path, List<String> faults) {
     this.fields = fields;
     this.path = path;
@@ -34,7 +34,7 @@
     return fields.containsKey(name);
   }
 
-  /** A required table in this one; empty if it is absent. */
+  /** Returns a required subtable; if it is missing, adds a fault and returns an empty table. */
   SettingsTable table(String name) {
     if (!(fields.get(name) instanceof Map)) {
       fault(name, "missing table");
@@ -42,12 +42,12 @@
     return optionalTable(name);
   }
 
-  /** A table in this one that may be absent, and then is empty. */
+  /** Returns an optional subtable; an empty table if it is absent. */
   SettingsTable optionalTable(String name) {
     return new SettingsTable(Json.map(fields.get(name)), path + name + ".", faults);
   }
 
-  /** The tables of an array in this one; empty if it is absent. */
+  /** Returns the tables of an array field; empty if the field is absent. */
   List<SettingsTable> tables(String name) {
     List<SettingsTable> tables = new ArrayList<>();
     for (Map<String, Object> element : Json.objects(fields, name)) {
@@ -57,14 +57,14 @@
     return tables;
   }
 
-  /** The same table with values in place of the fields that it does not have. */
+  /** Returns this table with default values for the fields that it lacks. */
   SettingsTable withDefaults(Map<String, Object> defaults) {
     Map<String, Object> merged = new LinkedHashMap<>(defaults);
     merged.putAll(fields);
     return new SettingsTable(merged, path, faults);
   }
 
-  /** A required text. */
+  /** Returns a required text. */
   String text(String name) {
     String value = optionalText(name);
     if (value == null || value.isEmpty()) {
@@ -74,17 +74,17 @@
     return value;
   }
 
-  /** A text that may be absent; null if it is, or is no text. */
+  /** Returns an optional text; null if the field is absent or not a text. */
   String optionalText(String name) {
     return Json.text(fields, name);
   }
 
-  /** A list of texts; empty if it is absent. */
+  /** Returns a list of texts; empty if the field is absent. */
   List<String> texts(String name) {
     return Json.texts(fields, name);
   }
 
-  /** A required address, as host:port. */
+  /** Returns a required address of the form host:port. */
   String address(String name) {
     String value = text(name);
     if (!value.isEmpty() && !value.matches("[^:]+:[0-9]{1,5}")) {
@@ -93,7 +93,7 @@
     return value;
   }
 
-  /** A required number above 0. */
+  /** Returns a required number above 0. */
   double positive(String name) {
     double value = optionalNumber(name, Double.NaN);
     if (!(value > 0) || Double.isInfinite(value)) {
@@ -103,52 +103,55 @@
     return value;
   }
 
-  /** A required number that is not below the least one. */
-  double atLeast(String name, double least) {
+  /** Returns a required number between a minimum and {@link #MAX_LIMIT}. */
+  double atLeast(String name, double min) {
     double value = optionalNumber(name, Double.NaN);
-    if (!(value >= least) || value > MAX_LIMIT) {
-      fault(name, "must be a number of " + least + " or more");
-      return least;
+    if (!(value >= min) || value > MAX_LIMIT) {
+      fault(name, "must be a number of " + min + " or more");
+      return min;
     }
     return value;
   }
 
-  /** A number that may be absent. */
-  double optionalNumber(String name, double absent) {
-    return Json.real(fields, name, absent);
+  /** Returns an optional number; the default value if the field is absent. */
+  double optionalNumber(String name, double defaultValue) {
+    return Json.real(fields, name, defaultValue);
   }
 
-  /** A whole number that may be absent; what is written after the point is cut off. */
-  int optionalInt(String name, int absent) {
-    return (int) Json.num(fields, name, absent);
+  /**
+   * Returns an optional whole number, with any fraction cut off; the default value if the field is
+   * absent.
+   */
+  int optionalInt(String name, int defaultValue) {
+    return (int) Json.num(fields, name, defaultValue);
   }
 
-  /** A required duration above 0, written in seconds, in microseconds. */
+  /** Returns a required duration above 0, given in seconds, as microseconds. */
   long secondsAsMicros(String name) {
     return (long) (positive(name) * MICROS_PER_SECOND);
   }
 
-  /** A duration, written in seconds, in microseconds; 0 if it is absent. */
+  /** Returns an optional duration, given in seconds, as microseconds; 0 if absent. */
   long optionalSecondsAsMicros(String name) {
     return (long) (optionalNumber(name, 0) * MICROS_PER_SECOND);
   }
 
-  /** A duration, written in milliseconds, in microseconds; 0 if it is absent. */
+  /** Returns an optional duration, given in milliseconds, as microseconds; 0 if absent. */
   long optionalMillisAsMicros(String name) {
-    return (long) (optionalNumber(name, 0) * MICROS_PER_MILLISECOND);
+    return (long) (optionalNumber(name, 0) * MICROS_PER_MILLI);
   }
 
-  /** A required amount of 0 or more, in thousandths. */
+  /** Returns a required amount of 0 or more, in thousandths. */
   long thousandths(String name) {
     double value = optionalNumber(name, Double.NaN);
     if (!(value >= 0)) {
       fault(name, "must be a number, 0 or more");
       return 0;
     }
-    return Math.round(value * THOUSANDTHS);
+    return Math.round(value * THOUSANDTHS_PER_UNIT);
   }
 
-  void fault(String name, String what) {
-    faults.add(path + name + ": " + what);
+  void fault(String name, String description) {
+    faults.add(path + name + ": " + description);
   }
 }
--- a/src/main/java/gladeknot/settings/StrictTable.java
+++ b/src/main/java/gladeknot/settings/StrictTable.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A table of a settings file in which unknown fields, wrong types and ranges are all faults. */
+/**
+ * A table of a feature file. Unknown fields, wrong types and values out of range are faults. A
+ * field with a fault reads as its default value, or as an empty text if it is required.
+ */
 final class StrictTable {
   private static final int MAX_PORT = 65535;
   private static final double MICROS_PER_SECOND = 1e6;
@@ -16,20 +19,20 @@
   private final List<String> faults;
   private final Set<String> known = new HashSet<>();
 
-  /** A table whose fields are named with the path before them in the faults. */
+  /** Creates a table; its faults name each field with the path as a prefix. */
   StrictTable(Map<String, Object> fields, String path, List<String> faults) {
     this.fields = fields;
     this.path = path;
     this.faults = faults;
   }
 
-  /** Whether a field is there; from now on it is a known one. */
+  /** Returns whether a field is present, and marks its name as known. */
   boolean has(String name) {
     known.add(name);
     return fields.containsKey(name);
   }
 
-  /** A table in this one; empty if it is absent. */
+  /** Returns a subtable; an empty table if it is absent. */
   StrictTable table(String name) {
     if (has(name) && !(fields.get(name) instanceof Map)) {
       fault(name, "must be a table");
@@ -37,34 +40,37 @@
     return new StrictTable(Json.map(fields.get(name)), path + name + ".", faults);
   }
 
-  /** A number within a range; {@code absent} if it is not there. */
-  double number(String name, double absent, double least, double most) {
+  /** Returns a number from {@code min} to {@code max}; the default value if the field is absent. */
+  double number(String name, double defaultValue, double min, double max) {
     if (!has(name)) {
-      return absent;
+      return defaultValue;
     }
     double value = fields.get(name) instanceof Number n ? n.doubleValue() : Double.NaN;
-    if (!(value >= least && value <= most)) {
-      fault(name, "must be a number from " + least + " to " + most);
-      return absent;
+    if (!(value >= min && value <= max)) {
+      fault(name, "must be a number from " + min + " to " + max);
+      return defaultValue;
     }
     return value;
   }
 
-  /** A duration that is written in seconds, in microseconds. */
-  long micros(String name, double absentSeconds, double leastSeconds, double mostSeconds) {
-    return Math.round(number(name, absentSeconds, leastSeconds, mostSeconds) * MICROS_PER_SECOND);
+  /**
+   * Returns a duration, given in seconds, as microseconds; the default value if the field is
+   * absent.
+   */
+  long secondsAsMicros(String name, double defaultSeconds, double minSeconds, double maxSeconds) {
+    return Math.round(number(name, defaultSeconds, minSeconds, maxSeconds) * MICROS_PER_SECOND);
   }
 
-  /** A truth value; {@code absent} if it is not there. */
-  boolean flag(String name, boolean absent) {
+  /** Returns a truth value; the default value if the field is absent. */
+  boolean flag(String name, boolean defaultValue) {
     if (has(name) && !(fields.get(name) instanceof Boolean)) {
       fault(name, "must be true or false");
-      return absent;
+      return defaultValue;
     }
-    return fields.get(name) instanceof Boolean flag ? flag : absent;
+    return fields.get(name) instanceof Boolean flag ? flag : defaultValue;
   }
 
-  /** A required text. */
+  /** Returns a required text. */
   String text(String name) {
     String value = has(name) ? Json.text(fields, name) : null;
     if (value == null || value.isBlank()) {
@@ -74,15 +80,15 @@
     return value;
   }
 
-  /** An address as host:port; {@code absent} if it is not there. */
-  String address(String name, String absent) {
+  /** Returns an address of the form host:port; the default value if the field is absent. */
+  String address(String name, String defaultValue) {
     if (!has(name)) {
-      return absent;
+      return defaultValue;
     }
     String value = Json.text(fields, name);
     if (value == null || !value.matches("[^:\\s]+:[0-9]{1,5}") || port(value) > MAX_PORT) {
       fault(name, "not of the form host:port");
-      return absent;
+      return defaultValue;
     }
     return value;
   }
@@ -91,12 +97,12 @@
     return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
   }
 
-  /** Makes a fault of a field. */
-  void fault(String name, String what) {
-    faults.add(path + name + ": " + what);
+  /** Adds a fault for a field. */
+  void fault(String name, String description) {
+    faults.add(path + name + ": " + description);
   }
 
-  /** Makes a fault of each field that nobody has asked for. */
+  /** Adds a fault for each field that has not been read. */
   void rejectUnknown() {
     for (String name : fields.keySet()) {
       if (!known.contains(name)) {
--- a/src/test/java/gladeknot/settings/SettingsReaderTest.java
+++ b/src/test/java/gladeknot/settings/SettingsReaderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class SettingsReaderTest {
-  private static final String GOOD =
+  private static final String VALID =
       """
       node_name = "n0"
       domain = "a"
@@ -66,8 +66,8 @@
   }
 
   @Test
-  void aGoodFileIsReadInMicrosecondsAndThousandths() throws IOException {
-    SettingsReader.Result result = read(GOOD);
+  void validFileIsConvertedToMicrosecondsAndThousandths() throws IOException {
+    SettingsReader.Result result = read(VALID);
     assertEquals(List.of(), result.faults());
     Settings settings = result.settings();
     assertEquals(14_000_000, settings.workers().leaseMicros());
@@ -75,7 +75,9 @@
     assertEquals(List.of("n0", "n1"), settings.nodes());
   }
 
-  /** The platform may add kinds of objectives: a controller that does not know one still starts. */
+  /**
+   * The platform may add kinds of objectives: a controller that does not know a kind still starts.
+   */
   @ParameterizedTest
   @CsvSource({
     "'kind = \"wait\"', WAIT",
@@ -87,17 +89,17 @@
     "'kind = 3', OTHER",
     "'', OTHER",
   })
-  void anyKindOfObjectiveIsAccepted(String line, ObjectiveKind kind) throws IOException {
-    Settings settings = read(GOOD.replace("kind = \"wait\"", line)).settings();
+  void everyObjectiveKindIsAccepted(String line, ObjectiveKind kind) throws IOException {
+    Settings settings = read(VALID.replace("kind = \"wait\"", line)).settings();
     assertEquals(kind, settings.objectives().get(0).kind());
   }
 
   @Test
-  void limitsToComeAreThePresentOnesWhereNotNamed() throws IOException {
-    Settings without = read(GOOD).settings();
+  void nextStateLimitsDefaultToTheCurrentLimits() throws IOException {
+    Settings without = read(VALID).settings();
     assertEquals(without.stateLimits(), without.nextStateLimits());
     String next = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 6\n[cluster.cloud]";
-    Settings with = read(GOOD.replace("[cluster.cloud]", next)).settings();
+    Settings with = read(VALID.replace("[cluster.cloud]", next)).settings();
     assertEquals(new Settings.StateLimits(120, 25, 2048, 6), with.nextStateLimits());
     assertEquals(without.stateLimits(), with.stateLimits());
   }
@@ -119,8 +121,8 @@
     "'[external]', '[internal]', external",
     "'[cluster]', '[[cluster', 'not TOML'",
   })
-  void eachFaultNamesItsField(String from, String to, String field) throws IOException {
-    SettingsReader.Result result = read(GOOD.replace(from, to));
+  void faultsAreReportedWithTheirField(String from, String to, String field) throws IOException {
+    SettingsReader.Result result = read(VALID.replace(from, to));
     assertTrue(
         result.faults().stream().anyMatch(fault -> fault.startsWith(field + ":")),
         () -> "" + result);
