--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -98,7 +98,7 @@
   public void tick(long nowMicros, long wallMicros) {
     // First of all what the others are entitled to is judged by this time, also after a stall.
     components.membership.setTime(nowMicros);
-    tracer.now(wallMicros);
+    tracer.setTime(wallMicros);
     components.connectivity.ifPresent(monitor -> monitor.tick(nowMicros, wallMicros));
     components.slices.tick(nowMicros);
     components.stateStore.tick(nowMicros);
--- a/src/main/java/gladeknot/tracing/OpenTelemetryTaskTracer.java
+++ b/src/main/java/gladeknot/tracing/OpenTelemetryTaskTracer.java
@@ -51,7 +51,7 @@
   }
 
   @Override
-  public void now(long micros) {
+  public void setTime(long micros) {
     wallMicros = micros;
   }
 
--- a/src/main/java/gladeknot/tracing/TaskTracer.java
+++ b/src/main/java/gladeknot/tracing/TaskTracer.java
@@ -2,7 +2,7 @@
 
 /**
  * Hears of each step of a job's submission and of each attempt at a task, for tracing. All calls
- * come from the event loop; times are the time of day of the newest {@link #now}.
+ * come from the event loop; times are the time of day of the newest {@link #setTime}.
  */
 public interface TaskTracer {
   /** Records nothing. */
@@ -12,7 +12,7 @@
   record AttemptId(String job, String task, long number) {}
 
   /** Sets the time of day, in microseconds. */
-  default void now(long wallMicros) {}
+  default void setTime(long wallMicros) {}
 
   /** A submission waits to be committed. */
   default void submitted(String job) {}
--- a/src/test/java/gladeknot/tracing/TracingTest.java
+++ b/src/test/java/gladeknot/tracing/TracingTest.java
@@ -48,15 +48,15 @@
         record(
             LARGE,
             tracer -> {
-              tracer.now(1_000_000);
+              tracer.setTime(1_000_000);
               tracer.submitted("req-a");
-              tracer.now(1_500_000);
+              tracer.setTime(1_500_000);
               tracer.accepted("req-a");
               tracer.committed(attempt, "vm-1", 2, 9);
               tracer.runSent(attempt);
-              tracer.now(2_500_000);
+              tracer.setTime(2_500_000);
               tracer.phaseObserved(attempt, "running");
-              tracer.now(4_000_000);
+              tracer.setTime(4_000_000);
               tracer.ended(attempt, "done");
               tracer.ended(attempt, "done");
             });
