--- a/src/main/java/gladeknot/tracing/OpenTelemetryTaskTracer.java
+++ b/src/main/java/gladeknot/tracing/OpenTelemetryTaskTracer.java
@@ -18,9 +18,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Records a span for each submission, until it is committed or refused, and one for each attempt,
- * from its commit to its end. A job's spans have one trace, named after the job, so that those of
- * different controllers belong together without anything being passed between them.
+ * Records one span per submission, until the submission is committed or refused, and one span per
+ * attempt, from the commit of its start to its end. All spans of a job belong to one trace, whose
+ * id is derived from the job's id. Spans from different controllers therefore belong together
+ * without any trace context being passed between the controllers.
  */
 public final class OpenTelemetryTaskTracer implements TaskTracer {
   private static final AttributeKey<String> JOB = AttributeKey.stringKey("job.id");
@@ -31,31 +32,34 @@
   private static final AttributeKey<Long> TERM = AttributeKey.longKey("shard.term");
   private static final AttributeKey<String> CAUSE = AttributeKey.stringKey("end.cause");
 
-  private static final String DONE = "done";
-  private static final String TOO_MANY_OPEN = "too many are open";
-  private static final String SHARD_RELEASED = "the shard is no longer ours";
+  private static final String CAUSE_DONE = "done";
+  private static final String CAUSE_TOO_MANY_OPEN = "too many are open";
+  private static final String CAUSE_SHARD_RELEASED = "the shard is no longer ours";
   private static final int SPAN_ID_BYTES = 8;
 
   private record OpenAttempt(Span span, int shard) {}
 
   private final Tracer tracer;
-  private final int maxOpen;
+  private final int maxOpenSpans;
   private final Map<String, Span> submissions = new LinkedHashMap<>();
   private final Map<AttemptId, OpenAttempt> attempts = new LinkedHashMap<>();
   private long wallMicros;
 
-  /** A tracer that keeps so many spans of each kind open; the oldest end when there are more. */
-  public OpenTelemetryTaskTracer(Tracer tracer, int maxOpen) {
+  /**
+   * Creates a tracer that keeps at most {@code maxOpenSpans} submission spans and as many attempt
+   * spans open. Above that, it ends the oldest spans.
+   */
+  public OpenTelemetryTaskTracer(Tracer tracer, int maxOpenSpans) {
     this.tracer = tracer;
-    this.maxOpen = maxOpen;
+    this.maxOpenSpans = maxOpenSpans;
   }
 
   @Override
-  public void setTime(long micros) {
-    wallMicros = micros;
+  public void setTime(long newWallMicros) {
+    wallMicros = newWallMicros;
   }
 
-  /** The parent that all spans of a job have, derived from the job's id. */
+  /** Returns the parent context of all spans of a job, derived from the job's id. */
   private static Context parent(String job) {
     HashCode hash = Hashing.murmur3_128().hashString(job, StandardCharsets.UTF_8);
     byte[] bytes = hash.asBytes();
@@ -77,16 +81,16 @@
 
   private void end(Span span, String cause) {
     span.setAttribute(CAUSE, cause);
-    span.setStatus(cause.equals(DONE) ? StatusCode.OK : StatusCode.ERROR, cause);
+    span.setStatus(cause.equals(CAUSE_DONE) ? StatusCode.OK : StatusCode.ERROR, cause);
     span.end(wallMicros, TimeUnit.MICROSECONDS);
   }
 
   @Override
   public void submitted(String job) {
     submissions.computeIfAbsent(job, id -> start("submission", id));
-    while (submissions.size() > maxOpen) {
+    while (submissions.size() > maxOpenSpans) {
       Iterator<Span> oldest = submissions.values().iterator();
-      end(oldest.next(), TOO_MANY_OPEN);
+      end(oldest.next(), CAUSE_TOO_MANY_OPEN);
       oldest.remove();
     }
   }
@@ -95,15 +99,15 @@
   public void accepted(String job) {
     Span span = submissions.remove(job);
     if (span != null) {
-      end(span, DONE);
+      end(span, CAUSE_DONE);
     }
   }
 
   @Override
-  public void refused(String job, String why) {
+  public void refused(String job, String reason) {
     Span span = submissions.remove(job);
     if (span != null) {
-      end(span, why);
+      end(span, reason);
     }
   }
 
@@ -115,13 +119,13 @@
     span.setAttribute(HOST, host);
     span.setAttribute(SHARD, (long) shard);
     span.setAttribute(TERM, term);
-    OpenAttempt before = attempts.put(attempt, new OpenAttempt(span, shard));
-    if (before != null) {
-      end(before.span(), "committed again");
+    OpenAttempt previous = attempts.put(attempt, new OpenAttempt(span, shard));
+    if (previous != null) {
+      end(previous.span(), "committed again");
     }
-    while (attempts.size() > maxOpen) {
+    while (attempts.size() > maxOpenSpans) {
       Iterator<OpenAttempt> oldest = attempts.values().iterator();
-      end(oldest.next().span(), TOO_MANY_OPEN);
+      end(oldest.next().span(), CAUSE_TOO_MANY_OPEN);
       oldest.remove();
     }
   }
@@ -139,8 +143,8 @@
   }
 
   @Override
-  public void phaseObserved(AttemptId attempt, String state) {
-    addEvent(attempt, "reported " + state);
+  public void phaseObserved(AttemptId attempt, String phase) {
+    addEvent(attempt, "reported " + phase);
   }
 
   @Override
@@ -162,7 +166,7 @@
     while (remaining.hasNext()) {
       OpenAttempt open = remaining.next();
       if (open.shard() == shard) {
-        end(open.span(), SHARD_RELEASED);
+        end(open.span(), CAUSE_SHARD_RELEASED);
         remaining.remove();
       }
     }
--- a/src/main/java/gladeknot/tracing/SpanFileExporter.java
+++ b/src/main/java/gladeknot/tracing/SpanFileExporter.java
@@ -23,23 +23,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes each span as one line of JSON to a file. A file that has reached its size is renamed, over
- * the one renamed before, and a new one is begun, so that disk use is bounded. What can't be
- * written is dropped and said once.
+ * Writes each span as one line of JSON to a file. To bound disk use, a file that has reached its
+ * maximum size is renamed, which replaces the file renamed before, and a new file is started. Spans
+ * that can't be written are dropped; a series of failures is logged once.
  */
 public final class SpanFileExporter implements SpanExporter {
   private static final Logger LOG = LoggerFactory.getLogger(SpanFileExporter.class);
 
-  /** Added to the name of a file that is full. */
+  /** Suffix that is appended to the name of a full file. */
   static final String FULL_SUFFIX = ".1";
 
   private final Path file;
   private final long maxBytes;
-  private OutputStream out;
-  private long written;
-  private boolean failed;
+  private OutputStream output;
+  private long writtenBytes;
+  private boolean lastExportFailed;
 
-  /** Opens the file, and goes on at its end if it exists. */
+  /** Opens the file; appends to it if it exists. */
   public SpanFileExporter(Path file, long maxBytes) throws IOException {
     this.file = file;
     this.maxBytes = maxBytes;
@@ -47,10 +47,10 @@
   }
 
   private void open() throws IOException {
-    out =
+    output =
         new BufferedOutputStream(
             Files.newOutputStream(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND));
-    written = Files.size(file);
+    writtenBytes = Files.size(file);
   }
 
   @Override
@@ -59,33 +59,33 @@
       for (SpanData span : spans) {
         write(span);
       }
-      out.flush();
-      failed = false;
+      output.flush();
+      lastExportFailed = false;
       return CompletableResultCode.ofSuccess();
     } catch (IOException e) {
-      // Said once for a series of failures: spans are exported every second.
-      if (!failed) {
+      // Logged once per series of failures, because spans are exported every second.
+      if (!lastExportFailed) {
         LOG.error("spans dropped file={} cause={}", file, e.toString());
       }
-      failed = true;
+      lastExportFailed = true;
       return CompletableResultCode.ofFailure();
     }
   }
 
   private void write(SpanData span) throws IOException {
     byte[] line = Json.bytes(fields(span));
-    if (written + line.length + 1 > maxBytes && written > 0) {
+    if (writtenBytes + line.length + 1 > maxBytes && writtenBytes > 0) {
       rotate();
     }
-    out.write(line);
-    out.write('\n');
-    written += line.length + 1;
+    output.write(line);
+    output.write('\n');
+    writtenBytes += line.length + 1;
   }
 
   private void rotate() throws IOException {
-    out.close();
-    Path full = file.resolveSibling(file.getFileName() + FULL_SUFFIX);
-    Files.move(file, full, StandardCopyOption.REPLACE_EXISTING);
+    output.close();
+    Path fullFile = file.resolveSibling(file.getFileName() + FULL_SUFFIX);
+    Files.move(file, fullFile, StandardCopyOption.REPLACE_EXISTING);
     open();
   }
 
@@ -121,7 +121,7 @@
   @Override
   public synchronized CompletableResultCode flush() {
     try {
-      out.flush();
+      output.flush();
       return CompletableResultCode.ofSuccess();
     } catch (IOException e) {
       return CompletableResultCode.ofFailure();
@@ -131,7 +131,7 @@
   @Override
   public synchronized CompletableResultCode shutdown() {
     try {
-      out.close();
+      output.close();
       return CompletableResultCode.ofSuccess();
     } catch (IOException e) {
       return CompletableResultCode.ofFailure();
--- a/src/main/java/gladeknot/tracing/TaskTracer.java
+++ b/src/main/java/gladeknot/tracing/TaskTracer.java
@@ -1,43 +1,43 @@
 package gladeknot.tracing;
 
 /**
- * Hears of each step of a job's submission and of each attempt at a task, for tracing. All calls
- * come from the event loop; times are the time of day of the newest {@link #setTime}.
+ * Receives each step of job submissions and of attempts, for tracing. All calls come from the event
+ * loop. Each step is recorded at the time of day set by the latest {@link #setTime}.
  */
 public interface TaskTracer {
-  /** Records nothing. */
+  /** Tracer that records nothing. */
   TaskTracer NONE = new TaskTracer() {};
 
-  /** Names one attempt at a task. */
+  /** Identifies an attempt of a task. */
   record AttemptId(String job, String task, long number) {}
 
-  /** Sets the time of day, in microseconds. */
+  /** Sets the time of day, in microseconds since 1970. */
   default void setTime(long wallMicros) {}
 
-  /** A submission waits to be committed. */
+  /** Records that a submission is waiting to be committed. */
   default void submitted(String job) {}
 
-  /** A submission is committed. */
+  /** Records that a submission is committed. */
   default void accepted(String job) {}
 
-  /** A request about a job was refused, and may be repeated. */
-  default void refused(String job, String why) {}
+  /** Records that a request about a job was refused; the client may retry it. */
+  default void refused(String job, String reason) {}
 
-  /** The start of an attempt is committed. */
+  /** Records that the start of an attempt is committed. */
   default void committed(AttemptId attempt, String host, int shard, long term) {}
 
-  /** A heartbeat response carries the command to run an attempt. */
+  /** Records that a heartbeat response contains the command to run an attempt. */
   default void runSent(AttemptId attempt) {}
 
-  /** A heartbeat shows an attempt in a state other than before. */
-  default void phaseObserved(AttemptId attempt, String state) {}
+  /** Records that a heartbeat reports an attempt in a phase other than before. */
+  default void phaseObserved(AttemptId attempt, String phase) {}
 
-  /** An attempt is to be killed. */
+  /** Records that a kill of an attempt is requested. */
   default void killed(AttemptId attempt) {}
 
-  /** An attempt has ended, or is proven gone. */
+  /** Records that an attempt has ended or is proved lost. */
   default void ended(AttemptId attempt, String cause) {}
 
-  /** The controller no longer owns a shard, nor its attempts. */
+  /** Records that the controller no longer owns a shard and its attempts. */
   default void shardReleased(int shard) {}
 }
--- a/src/test/java/gladeknot/tracing/TracingTest.java
+++ b/src/test/java/gladeknot/tracing/TracingTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Spans as they come out of the file. */
+/** Tests the spans as written to the file. */
 class TracingTest {
-  private static final long LARGE = 1 << 20;
+  private static final long LARGE_FILE_BYTES = 1 << 20;
 
   @TempDir Path dir;
 
@@ -42,11 +42,11 @@
   }
 
   @Test
-  void anAttemptIsOneSpanFromItsCommitToItsEnd() throws IOException {
+  void attemptIsOneSpanFromCommitToEnd() throws IOException {
     AttemptId attempt = new AttemptId("req-a", "req-a/3", 7);
     List<Map<String, Object>> spans =
         record(
-            LARGE,
+            LARGE_FILE_BYTES,
             tracer -> {
               tracer.setTime(1_000_000);
               tracer.submitted("req-a");
@@ -61,28 +61,29 @@
               tracer.ended(attempt, "done");
             });
     assertEquals(2, spans.size());
-    Map<String, Object> submission = spans.get(0);
-    Map<String, Object> task = spans.get(1);
-    assertEquals("submission", submission.get("name"));
-    assertEquals(submission.get("traceId"), task.get("traceId"));
-    assertEquals(submission.get("parentSpanId"), task.get("parentSpanId"));
-    assertNotEquals(submission.get("spanId"), task.get("spanId"));
-    assertEquals(1_500_000_000L, Json.num(task, "startTimeUnixNano", 0));
-    assertEquals(4_000_000_000L, Json.num(task, "endTimeUnixNano", 0));
-    Map<String, Object> attributes = Json.map(task.get("attributes"));
+    Map<String, Object> submissionSpan = spans.get(0);
+    Map<String, Object> attemptSpan = spans.get(1);
+    assertEquals("submission", submissionSpan.get("name"));
+    assertEquals(submissionSpan.get("traceId"), attemptSpan.get("traceId"));
+    assertEquals(submissionSpan.get("parentSpanId"), attemptSpan.get("parentSpanId"));
+    assertNotEquals(submissionSpan.get("spanId"), attemptSpan.get("spanId"));
+    assertEquals(1_500_000_000L, Json.num(attemptSpan, "startTimeUnixNano", 0));
+    assertEquals(4_000_000_000L, Json.num(attemptSpan, "endTimeUnixNano", 0));
+    Map<String, Object> attributes = Json.map(attemptSpan.get("attributes"));
     assertEquals(2, Json.num(attributes, "shard.number", -1));
     assertEquals(9, Json.num(attributes, "shard.term", -1));
     assertEquals("done", attributes.get("end.cause"));
-    assertEquals("OK", task.get("status"));
-    List<Object> events = Json.objects(task, "events").stream().map(e -> e.get("name")).toList();
+    assertEquals("OK", attemptSpan.get("status"));
+    List<Object> events =
+        Json.objects(attemptSpan, "events").stream().map(e -> e.get("name")).toList();
     assertEquals(List.of("ordered", "reported running"), events);
   }
 
   @Test
-  void whatIsLostOrTooMuchEndsWithItsCause() throws IOException {
+  void refusedSurplusAndReleasedSpansEndWithTheirCause() throws IOException {
     List<Map<String, Object>> spans =
         record(
-            LARGE,
+            LARGE_FILE_BYTES,
             tracer -> {
               tracer.submitted("req-r");
               tracer.refused("req-r", "not committed in time");
@@ -103,8 +104,8 @@
   }
 
   @Test
-  void aFullFileIsRenamedSoThatDiskUseIsBounded() throws IOException {
-    List<Map<String, Object>> last =
+  void fullFileIsRenamedToBoundDiskUse() throws IOException {
+    List<Map<String, Object>> newestSpans =
         record(
             2000,
             tracer -> {
@@ -113,7 +114,7 @@
                 tracer.accepted("req-" + i);
               }
             });
-    assertTrue(last.size() < 10, last.size() + " spans in the newest file");
+    assertTrue(newestSpans.size() < 10, newestSpans.size() + " spans in the newest file");
     assertTrue(Files.size(dir.resolve("spans.jsonl" + SpanFileExporter.FULL_SUFFIX)) <= 2000);
   }
 }
