--- a/src/test/java/gladeknot/ArchitecturePageTest.java
+++ b/src/test/java/gladeknot/ArchitecturePageTest.java
@@ -14,17 +14,17 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The architecture page names types that exist. */
+/** Checks that the architecture page names only types that exist. */
 class ArchitecturePageTest {
   private static final Path PAGE = Path.of("docs", "architecture.md");
   private static final String EXTENSION = ".java";
 
-  /** A type, perhaps with a member, between back quotes. */
+  /** Type name in backquotes, optionally followed by a member. */
   private static final Pattern TYPE =
       Pattern.compile("`([A-Z][a-z0-9]+(?:[A-Z][A-Za-z0-9]*)?)(?:\\.[a-zA-Z]+)?`");
 
   @Test
-  void everyTypeThatThePageNamesExists() throws IOException {
+  void typesNamedOnThePageExist() throws IOException {
     Set<String> missing = typesNamed();
     assertTrue(missing.size() > 50, "only " + missing.size() + " names found");
     missing.removeAll(typesInSources());
--- a/src/test/java/gladeknot/ArchitectureTest.java
+++ b/src/test/java/gladeknot/ArchitectureTest.java
@@ -23,12 +23,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** The structure of the production code: which package may use which, where wire words are. */
+/**
+ * Checks the structure of the production code: the permitted dependencies between packages, and
+ * that the protocol's field names occur only in codecs.
+ */
 class ArchitectureTest {
   private static final String ROOT = "gladeknot";
 
-  /** All packages; each may use those after it and none before it. */
-  private static final List<String> ORDER =
+  /** All packages, from highest to lowest; each may depend only on packages after it. */
+  private static final List<String> PACKAGES_HIGHEST_FIRST =
       List.of(
           "app",
           "http",
@@ -52,7 +55,7 @@
 
   private static final Path SOURCES = Path.of("src", "main", "java");
 
-  /** Names that the protocol gives to fields and that the code has other terms for. */
+  /** Names of protocol fields for which the code uses other terms. */
   private static final Set<String> WIRE_WORDS =
       Set.of(
           "strands",
@@ -75,7 +78,7 @@
           "hire",
           "marketPrice");
 
-  /** Wire words outside codecs that are still to be moved; nothing is added here. */
+  /** Wire words outside codecs, by file. Existing exceptions that are to be moved; add none. */
   private static final Map<String, Set<String>> WIRE_WORDS_OUTSIDE_CODECS =
       Map.of("jobs/SubmissionErrors.java", Set.of("hosttypes"));
 
@@ -86,46 +89,50 @@
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages(ROOT);
 
-  private static String allOf(String name) {
+  private static String packagePattern(String name) {
     return ROOT + "." + name + "..";
   }
 
   @TestFactory
-  Stream<DynamicTest> noPackageUsesOneBeforeIt() {
-    return ORDER.stream()
+  Stream<DynamicTest> packagesDoNotDependOnHigherOnes() {
+    return PACKAGES_HIGHEST_FIRST.stream()
         .skip(1)
-        .map(name -> DynamicTest.dynamicTest(name, () -> checkUsesNoneBefore(name)));
+        .map(name -> DynamicTest.dynamicTest(name, () -> checkNoDependencyOnHigherPackages(name)));
   }
 
-  private static void checkUsesNoneBefore(String name) {
-    String[] before =
-        ORDER.subList(0, ORDER.indexOf(name)).stream()
-            .map(ArchitectureTest::allOf)
+  private static void checkNoDependencyOnHigherPackages(String name) {
+    String[] higherPackages =
+        PACKAGES_HIGHEST_FIRST.subList(0, PACKAGES_HIGHEST_FIRST.indexOf(name)).stream()
+            .map(ArchitectureTest::packagePattern)
             .toArray(String[]::new);
     noClasses()
         .that()
-        .resideInAPackage(allOf(name))
+        .resideInAPackage(packagePattern(name))
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(before)
+        .resideInAnyPackage(higherPackages)
         .check(CLASSES);
   }
 
   @Test
-  void theOrderNamesAllPackages() {
+  void orderListsAllPackages() {
     Set<String> found = new TreeSet<>();
     CLASSES.forEach(type -> found.add(type.getPackageName()));
-    Set<String> named = ORDER.stream().map(name -> ROOT + "." + name).collect(Collectors.toSet());
-    assertEquals(new TreeSet<>(named), found);
+    Set<String> listed =
+        PACKAGES_HIGHEST_FIRST.stream().map(name -> ROOT + "." + name).collect(Collectors.toSet());
+    assertEquals(new TreeSet<>(listed), found);
   }
 
-  /** A word that is no longer used is to be removed from the list, so that it can only shrink. */
+  /**
+   * The found exceptions must equal the listed ones, so that a listed word that is no longer used
+   * has to be removed and the list can only shrink.
+   */
   @Test
-  void wireWordsAreInCodecsOnly() throws IOException {
+  void wireWordsOccurOnlyInCodecs() throws IOException {
     Map<String, Set<String>> found = new TreeMap<>();
     Path root = SOURCES.resolve(ROOT);
     try (Stream<Path> files = Files.walk(root)) {
-      for (Path file : files.filter(ArchitectureTest::isNoCodec).toList()) {
+      for (Path file : files.filter(ArchitectureTest::isNotCodec).toList()) {
         Set<String> words = wireWords(Files.readString(file));
         if (!words.isEmpty()) {
           found.put(root.relativize(file).toString().replace('\\', '/'), words);
@@ -137,9 +144,9 @@
     assertEquals(listed, found);
   }
 
-  /** Without this an empty directory would pass. */
+  /** Guards the other check: it would also pass if no sources were found. */
   @Test
-  void codecsUseTheWireWords() throws IOException {
+  void codecsContainWireWords() throws IOException {
     Set<String> inCodecs = new TreeSet<>();
     try (Stream<Path> files = Files.walk(SOURCES)) {
       for (Path file : files.filter(path -> path.toString().endsWith("Codec.java")).toList()) {
@@ -149,7 +156,7 @@
     assertTrue(inCodecs.contains("strands"), () -> "only " + inCodecs);
   }
 
-  private static boolean isNoCodec(Path path) {
+  private static boolean isNotCodec(Path path) {
     return path.toString().endsWith(".java") && !path.toString().endsWith("Codec.java");
   }
 
