--- a/src/main/java/gladeknot/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/gladeknot/connectivity/ConnectivityMonitor.java
@@ -2,7 +2,7 @@
 
 import gladeknot.outbox.Outbox;
 import gladeknot.peer.PeerMessage;
-import gladeknot.peer.PeerReach;
+import gladeknot.peer.PeerReachability;
 import gladeknot.settings.PartialCuts;
 import gladeknot.settings.Settings;
 import java.util.Map;
@@ -143,7 +143,7 @@
     if (message.reach().isEmpty() || !isMember(message.from())) {
       return;
     }
-    PeerReach reach = message.reach().get();
+    PeerReachability reach = message.reach().get();
     if (peers.onReach(message.from(), reach)
         && feature.handover().enabled()
         && offers.onReach(message.from(), reach)) {
--- a/src/main/java/gladeknot/connectivity/FailoverOffers.java
+++ b/src/main/java/gladeknot/connectivity/FailoverOffers.java
@@ -1,8 +1,8 @@
 package gladeknot.connectivity;
 
-import gladeknot.peer.PeerReach;
-import gladeknot.peer.PeerReach.ShardAccept;
-import gladeknot.peer.PeerReach.ShardOffer;
+import gladeknot.peer.PeerReachability;
+import gladeknot.peer.PeerReachability.ShardAccept;
+import gladeknot.peer.PeerReachability.ShardOffer;
 import gladeknot.settings.PartialCuts;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -159,7 +159,7 @@
   }
 
   /** Takes in a peer's record; returns whether the peers must be notified at once. */
-  boolean onReach(String from, PeerReach reach) {
+  boolean onReach(String from, PeerReachability reach) {
     boolean changed = false;
     received.values().removeIf(offer -> offer.from().equals(from));
     for (ShardOffer offer : reach.offers()) {
@@ -222,7 +222,7 @@
             entries.add(
                 new ShardOffer(
                     shard, offer.incarnation(), offer.term(), offer.to(), offer.relinquished())));
-    return entries.subList(0, Math.min(entries.size(), PeerReach.MAX_ENTRIES));
+    return entries.subList(0, Math.min(entries.size(), PeerReachability.MAX_ENTRIES));
   }
 
   /** What this controller accepts, for its next record. */
@@ -230,6 +230,6 @@
     List<ShardAccept> entries = new ArrayList<>();
     received.forEach(
         (shard, offer) -> entries.add(new ShardAccept(shard, offer.term(), offer.from())));
-    return entries.subList(0, Math.min(entries.size(), PeerReach.MAX_ENTRIES));
+    return entries.subList(0, Math.min(entries.size(), PeerReachability.MAX_ENTRIES));
   }
 }
--- a/src/main/java/gladeknot/connectivity/PeerLinkObserver.java
+++ b/src/main/java/gladeknot/connectivity/PeerLinkObserver.java
@@ -1,7 +1,7 @@
 package gladeknot.connectivity;
 
-import gladeknot.peer.PeerReach;
-import gladeknot.peer.PeerReach.Heard;
+import gladeknot.peer.PeerReachability;
+import gladeknot.peer.PeerReachability.Heard;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -24,7 +24,7 @@
 
   /** What is known of one other controller. */
   private static final class Peer {
-    private PeerReach reach;
+    private PeerReachability reach;
     private long receivedMicros;
 
     /** The newest of this controller's records that it has received, by any report. */
@@ -72,19 +72,19 @@
       if (fresh(entry.getValue())) {
         for (Heard row : entry.getValue().reach.heard()) {
           boolean own = row.observer().equals(entry.getKey());
-          if (own && rows.size() < PeerReach.MAX_ENTRIES) {
+          if (own && rows.size() < PeerReachability.MAX_ENTRIES) {
             rows.add(row);
           }
         }
       }
     }
-    return rows.subList(0, Math.min(rows.size(), PeerReach.MAX_ENTRIES));
+    return rows.subList(0, Math.min(rows.size(), PeerReachability.MAX_ENTRIES));
   }
 
   /** Takes in a peer's record; returns whether it is newer than those before it. */
-  boolean onReach(String from, PeerReach reach) {
+  boolean onReach(String from, PeerReachability reach) {
     Peer peer = peers.computeIfAbsent(from, f -> new Peer());
-    PeerReach last = peer.reach;
+    PeerReachability last = peer.reach;
     if (last != null && !newer(peer, reach)) {
       return false;
     }
@@ -102,7 +102,7 @@
   }
 
   /** A new life is newer, even with a clock that was set back while no records arrived. */
-  private boolean newer(Peer peer, PeerReach reach) {
+  private boolean newer(Peer peer, PeerReachability reach) {
     if (reach.life() == peer.reach.life()) {
       return reach.sequence() > peer.reach.sequence();
     }
@@ -165,7 +165,7 @@
   }
 
   /** The newest record of a controller, unless it is overdue. */
-  Optional<PeerReach> freshReach(String node) {
+  Optional<PeerReachability> freshReach(String node) {
     Peer peer = peers.get(node);
     return peer != null && fresh(peer) ? Optional.of(peer.reach) : Optional.empty();
   }
--- a/src/main/java/gladeknot/connectivity/ReachFailoverAdvisor.java
+++ b/src/main/java/gladeknot/connectivity/ReachFailoverAdvisor.java
@@ -1,7 +1,7 @@
 package gladeknot.connectivity;
 
 import gladeknot.connectivity.OwnerSelector.Candidate;
-import gladeknot.peer.PeerReach;
+import gladeknot.peer.PeerReachability;
 import gladeknot.settings.PartialCuts;
 import gladeknot.settings.Settings;
 import java.util.ArrayList;
@@ -125,7 +125,7 @@
 
   @Override
   public boolean mayReturnHome(int shard, String home) {
-    Optional<PeerReach> reach = peers.freshReach(home);
+    Optional<PeerReachability> reach = peers.freshReach(home);
     Long keepUntil = keepUntilMicros.get(shard);
     if (!feature.handover().enabled() || reach.isEmpty() || keepUntil == null) {
       return true;
@@ -157,7 +157,7 @@
     }
     boolean anyFresh = false;
     for (Settings.Member member : settings.members()) {
-      Optional<PeerReach> reach = peers.freshReach(member.node());
+      Optional<PeerReachability> reach = peers.freshReach(member.node());
       if (reach.isPresent() && reach.get().stateSteady()) {
         return true;
       }
--- a/src/main/java/gladeknot/connectivity/ReachReporter.java
+++ b/src/main/java/gladeknot/connectivity/ReachReporter.java
@@ -2,9 +2,9 @@
 
 import gladeknot.outbox.Outbox;
 import gladeknot.peer.PeerMessage;
-import gladeknot.peer.PeerReach;
-import gladeknot.peer.PeerReach.ShardContact;
-import gladeknot.peer.PeerReach.ZoneReach;
+import gladeknot.peer.PeerReachability;
+import gladeknot.peer.PeerReachability.ShardContact;
+import gladeknot.peer.PeerReachability.ZoneReach;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -45,8 +45,8 @@
   /** Sends a report now. */
   void report(long nowMicros) {
     nextReportMicros = nowMicros + intervalMicros;
-    PeerReach reach =
-        new PeerReach(
+    PeerReachability reach =
+        new PeerReachability(
             peers.life(),
             peers.nextSequence(),
             links.steady(LinkId.STATE),
@@ -71,14 +71,14 @@
       }
     }
     return percents.entrySet().stream()
-        .limit(PeerReach.MAX_ENTRIES)
+        .limit(PeerReachability.MAX_ENTRIES)
         .map(zone -> new ZoneReach(zone.getKey(), zone.getValue()))
         .toList();
   }
 
   private List<ShardContact> contacts() {
     return workers.remoteContacts().entrySet().stream()
-        .limit(PeerReach.MAX_ENTRIES)
+        .limit(PeerReachability.MAX_ENTRIES)
         .map(shard -> new ShardContact(shard.getKey(), shard.getValue()))
         .toList();
   }
--- a/src/main/java/gladeknot/connectivity/ReachScore.java
+++ b/src/main/java/gladeknot/connectivity/ReachScore.java
@@ -1,8 +1,8 @@
 package gladeknot.connectivity;
 
-import gladeknot.peer.PeerReach;
-import gladeknot.peer.PeerReach.ShardContact;
-import gladeknot.peer.PeerReach.ZoneReach;
+import gladeknot.peer.PeerReachability;
+import gladeknot.peer.PeerReachability.ShardContact;
+import gladeknot.peer.PeerReachability.ZoneReach;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -55,7 +55,7 @@
   }
 
   /** The score of a controller by its own record. */
-  static int of(Map<String, Integer> workersByZone, PeerReach reach, int shard) {
+  static int of(Map<String, Integer> workersByZone, PeerReachability reach, int shard) {
     return of(workersByZone, reach.zones(), reach.contacts(), shard);
   }
 }
--- a/src/main/java/gladeknot/connectivity/StatusReport.java
+++ b/src/main/java/gladeknot/connectivity/StatusReport.java
@@ -1,8 +1,8 @@
 package gladeknot.connectivity;
 
 import gladeknot.json.Json;
-import gladeknot.peer.PeerReach;
-import gladeknot.peer.PeerReach.ShardOffer;
+import gladeknot.peer.PeerReachability;
+import gladeknot.peer.PeerReachability.ShardOffer;
 import gladeknot.settings.Settings;
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
@@ -80,7 +80,7 @@
     for (Settings.Member member : settings.members()) {
       OptionalLong heardAgo = peers.sinceLastRecordMicros(member.node());
       Boolean stateSteady =
-          peers.freshReach(member.node()).map(PeerReach::stateSteady).orElse(null);
+          peers.freshReach(member.node()).map(PeerReachability::stateSteady).orElse(null);
       members.add(
           Json.of(
               "node",
--- a/src/main/java/gladeknot/peer/PeerMessage.java
+++ b/src/main/java/gladeknot/peer/PeerMessage.java
@@ -22,7 +22,7 @@
     long term,
     List<QuotaDeficit> deficits,
     List<String> cancelledJobs,
-    Optional<PeerReach> reach) {
+    Optional<PeerReachability> reach) {
   /** What a team's quota lacks in a shard; CPUs and GPUs in thousandths. */
   public record QuotaDeficit(String team, long cpus, long gpus) {}
 
@@ -48,7 +48,7 @@
   }
 
   /** A message about what a controller reaches. */
-  public static PeerMessage ofReach(String from, PeerReach reach) {
+  public static PeerMessage ofReach(String from, PeerReachability reach) {
     return new PeerMessage(from, NO_SHARD, 0, List.of(), List.of(), Optional.of(reach));
   }
 
--- a/src/main/java/gladeknot/peer/PeerMessageCodec.java
+++ b/src/main/java/gladeknot/peer/PeerMessageCodec.java
@@ -54,7 +54,7 @@
     }
     if (message.reach().isPresent()) {
       out.writeBoolean(true);
-      PeerReachCodec.write(message.reach().get(), out);
+      PeerReachabilityCodec.write(message.reach().get(), out);
     }
   }
 
@@ -86,9 +86,9 @@
     }
     List<String> cancelledJobs =
         format >= FORMAT_CANCELLATIONS ? readCancelledJobs(in) : new ArrayList<>();
-    Optional<PeerReach> reach =
+    Optional<PeerReachability> reach =
         format >= FORMAT_REACH && in.readBoolean()
-            ? Optional.of(PeerReachCodec.read(in))
+            ? Optional.of(PeerReachabilityCodec.read(in))
             : Optional.empty();
     return new PeerMessage(from, shard, term, deficits, cancelledJobs, reach);
   }
--- a/src/main/java/gladeknot/peer/PeerReach.java
+++ b/src/main/java/gladeknot/peer/PeerReachability.java
@@ -16,7 +16,7 @@
  * @param offers the shards that the sender offers
  * @param accepts the offers that the sender accepts
  */
-public record PeerReach(
+public record PeerReachability(
     long life,
     long sequence,
     boolean stateSteady,
--- a/src/main/java/gladeknot/peer/PeerReachCodec.java
+++ b/src/main/java/gladeknot/peer/PeerReachabilityCodec.java
@@ -1,18 +1,18 @@
 package gladeknot.peer;
 
-import gladeknot.peer.PeerReach.Heard;
-import gladeknot.peer.PeerReach.ShardAccept;
-import gladeknot.peer.PeerReach.ShardContact;
-import gladeknot.peer.PeerReach.ShardOffer;
-import gladeknot.peer.PeerReach.ZoneReach;
+import gladeknot.peer.PeerReachability.Heard;
+import gladeknot.peer.PeerReachability.ShardAccept;
+import gladeknot.peer.PeerReachability.ShardContact;
+import gladeknot.peer.PeerReachability.ShardOffer;
+import gladeknot.peer.PeerReachability.ZoneReach;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 
-/** The binary form of a {@link PeerReach}: each list with its length before it. */
-final class PeerReachCodec {
+/** The binary form of a {@link PeerReachability}: each list with its length before it. */
+final class PeerReachabilityCodec {
   private static final int MAX_PERCENT = 100;
 
   private interface ElementWriter<T> {
@@ -23,9 +23,9 @@
     T read() throws IOException;
   }
 
-  private PeerReachCodec() {}
+  private PeerReachabilityCodec() {}
 
-  static void write(PeerReach reach, DataOutputStream out) throws IOException {
+  static void write(PeerReachability reach, DataOutputStream out) throws IOException {
     out.writeLong(reach.life());
     out.writeLong(reach.sequence());
     out.writeBoolean(reach.stateSteady());
@@ -76,10 +76,10 @@
   }
 
   /** Reads what a controller reaches; fails with IOException when a value is out of its range. */
-  static PeerReach read(DataInputStream in) throws IOException {
+  static PeerReachability read(DataInputStream in) throws IOException {
     // Arguments are evaluated from first to last, as they were written.
-    PeerReach reach =
-        new PeerReach(
+    PeerReachability reach =
+        new PeerReachability(
             in.readLong(),
             in.readLong(),
             in.readBoolean(),
@@ -97,7 +97,7 @@
   private static <T> List<T> readList(DataInputStream in, ElementReader<T> reader)
       throws IOException {
     int count = in.readInt();
-    if (count < 0 || count > PeerReach.MAX_ENTRIES) {
+    if (count < 0 || count > PeerReachability.MAX_ENTRIES) {
       throw new IOException("out of range");
     }
     List<T> list = new ArrayList<>();
@@ -116,12 +116,12 @@
         in.readInt(), in.readLong(), in.readLong(), in.readUTF(), in.readBoolean());
   }
 
-  private static boolean isInRange(PeerReach reach) {
+  private static boolean isInRange(PeerReachability reach) {
     return reach.sequence() >= 1
-        && reach.zones().stream().allMatch(PeerReachCodec::isInRange)
-        && reach.contacts().stream().allMatch(PeerReachCodec::isInRange)
-        && reach.offers().stream().allMatch(PeerReachCodec::isInRange)
-        && reach.accepts().stream().allMatch(PeerReachCodec::isInRange);
+        && reach.zones().stream().allMatch(PeerReachabilityCodec::isInRange)
+        && reach.contacts().stream().allMatch(PeerReachabilityCodec::isInRange)
+        && reach.offers().stream().allMatch(PeerReachabilityCodec::isInRange)
+        && reach.accepts().stream().allMatch(PeerReachabilityCodec::isInRange);
   }
 
   private static boolean isInRange(ZoneReach zone) {
--- a/src/test/java/gladeknot/connectivity/LinkJudgementTest.java
+++ b/src/test/java/gladeknot/connectivity/LinkJudgementTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gladeknot.connectivity.OwnerSelector.Candidate;
-import gladeknot.peer.PeerReach.ShardContact;
-import gladeknot.peer.PeerReach.ZoneReach;
+import gladeknot.peer.PeerReachability.ShardContact;
+import gladeknot.peer.PeerReachability.ZoneReach;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
--- a/src/test/java/gladeknot/golden/GoldenPeersTest.java
+++ b/src/test/java/gladeknot/golden/GoldenPeersTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import gladeknot.peer.PeerMessage;
-import gladeknot.peer.PeerReach;
+import gladeknot.peer.PeerReachability;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -50,24 +50,24 @@
               "reach-empty.hex",
               PeerMessage.ofReach(
                   "node-2",
-                  new PeerReach(
+                  new PeerReachability(
                       5, 1, false, List.of(), List.of(), List.of(), List.of(), List.of()))),
           new Case("reach.hex", PeerMessage.ofReach("node-1", reach())));
 
-  private static PeerReach reach() {
-    return new PeerReach(
+  private static PeerReachability reach() {
+    return new PeerReachability(
         5,
         LARGE,
         true,
         List.of(
-            new PeerReach.Heard("node-1", "node-0", 4, 7),
-            new PeerReach.Heard("node-2", "node-0", LARGE, 8)),
-        List.of(new PeerReach.ZoneReach("a", 75), new PeerReach.ZoneReach("b", 100)),
-        List.of(new PeerReach.ShardContact(0, 3), new PeerReach.ShardContact(1, 0)),
+            new PeerReachability.Heard("node-1", "node-0", 4, 7),
+            new PeerReachability.Heard("node-2", "node-0", LARGE, 8)),
+        List.of(new PeerReachability.ZoneReach("a", 75), new PeerReachability.ZoneReach("b", 100)),
+        List.of(new PeerReachability.ShardContact(0, 3), new PeerReachability.ShardContact(1, 0)),
         List.of(
-            new PeerReach.ShardOffer(1, 4, 9, "node-2", true),
-            new PeerReach.ShardOffer(2, LARGE, 10, "node-0", false)),
-        List.of(new PeerReach.ShardAccept(2, 11, "node-0")));
+            new PeerReachability.ShardOffer(1, 4, 9, "node-2", true),
+            new PeerReachability.ShardOffer(2, LARGE, 10, "node-0", false)),
+        List.of(new PeerReachability.ShardAccept(2, 11, "node-0")));
   }
 
   private static Stream<Case> cases() {
--- a/src/test/java/gladeknot/peer/PeerMessageTest.java
+++ b/src/test/java/gladeknot/peer/PeerMessageTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import gladeknot.peer.PeerReach.Heard;
-import gladeknot.peer.PeerReach.ShardOffer;
-import gladeknot.peer.PeerReach.ZoneReach;
+import gladeknot.peer.PeerReachability.Heard;
+import gladeknot.peer.PeerReachability.ShardOffer;
+import gladeknot.peer.PeerReachability.ZoneReach;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.Collections;
@@ -26,15 +26,15 @@
   private static final PeerMessage REACH =
       PeerMessage.ofReach(
           "node-1",
-          new PeerReach(
+          new PeerReachability(
               5,
               8,
               true,
-              List.of(new PeerReach.Heard("node-1", "node-0", 4, 7)),
-              List.of(new PeerReach.ZoneReach("a", 75)),
-              List.of(new PeerReach.ShardContact(0, 3)),
-              List.of(new PeerReach.ShardOffer(1, 4, 9, "node-2", true)),
-              List.of(new PeerReach.ShardAccept(2, 11, "node-0"))));
+              List.of(new PeerReachability.Heard("node-1", "node-0", 4, 7)),
+              List.of(new PeerReachability.ZoneReach("a", 75)),
+              List.of(new PeerReachability.ShardContact(0, 3)),
+              List.of(new PeerReachability.ShardOffer(1, 4, 9, "node-2", true)),
+              List.of(new PeerReachability.ShardAccept(2, 11, "node-0"))));
 
   @Test
   void comesBackAsItWasSent() throws IOException {
@@ -48,17 +48,17 @@
     refused(REACH.encode());
   }
 
-  private static PeerReach reach(
+  private static PeerReachability reach(
       long sequence, List<Heard> heard, List<ZoneReach> zones, List<ShardOffer> offers) {
-    return new PeerReach(5, sequence, true, heard, zones, List.of(), offers, List.of());
+    return new PeerReachability(5, sequence, true, heard, zones, List.of(), offers, List.of());
   }
 
   /** The values of a record are within their ranges, or it is refused whole. */
   @Test
   void valuesOutOfRangeAreRefused() {
     Heard row = new Heard("node-1", "node-0", 4, 7);
-    List<Heard> tooMany = Collections.nCopies(PeerReach.MAX_ENTRIES + 1, row);
-    List<PeerReach> wrong =
+    List<Heard> tooMany = Collections.nCopies(PeerReachability.MAX_ENTRIES + 1, row);
+    List<PeerReachability> wrong =
         List.of(
             reach(0, List.of(), List.of(), List.of()),
             reach(8, List.of(), List.of(new ZoneReach("a", 101)), List.of()),
@@ -66,7 +66,7 @@
             reach(8, List.of(), List.of(), List.of(new ShardOffer(1, 4, 0, "node-2", false))),
             reach(8, List.of(), List.of(), List.of(new ShardOffer(-1, 4, 9, "node-2", true))),
             reach(8, tooMany, List.of(), List.of()));
-    for (PeerReach reach : wrong) {
+    for (PeerReachability reach : wrong) {
       byte[] record = PeerMessage.ofReach("node-1", reach).encode();
       assertThrows(IOException.class, () -> PeerMessage.decode(record));
     }
