--- a/src/main/java/gladeknot/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/gladeknot/connectivity/ConnectivityMonitor.java
@@ -140,13 +140,13 @@
 
   /** Takes in a record of another controller; messages of others than members are ignored. */
   public void onPeerMessage(PeerMessage message) {
-    if (message.reach().isEmpty() || !isMember(message.from())) {
+    if (message.reachability().isEmpty() || !isMember(message.from())) {
       return;
     }
-    PeerReachability reach = message.reach().get();
-    if (peers.onReach(message.from(), reach)
+    PeerReachability reachability = message.reachability().get();
+    if (peers.onReach(message.from(), reachability)
         && feature.handover().enabled()
-        && offers.onReach(message.from(), reach)) {
+        && offers.onReach(message.from(), reachability)) {
       reporter.report(nowMicros);
     }
   }
--- a/src/main/java/gladeknot/connectivity/FailoverOffers.java
+++ b/src/main/java/gladeknot/connectivity/FailoverOffers.java
@@ -159,18 +159,18 @@
   }
 
   /** Takes in a peer's record; returns whether the peers must be notified at once. */
-  boolean onReach(String from, PeerReachability reach) {
+  boolean onReach(String from, PeerReachability reachability) {
     boolean changed = false;
     received.values().removeIf(offer -> offer.from().equals(from));
-    for (ShardOffer offer : reach.offers()) {
+    for (ShardOffer offer : reachability.offers()) {
       if (offer.to().equals(self) && mayTake(from, offer)) {
         received.put(
             offer.shard(),
-            new ReceivedOffer(offer.incarnation(), offer.term(), from, offer.yielded()));
-        changed |= !offer.yielded();
+            new ReceivedOffer(offer.incarnation(), offer.term(), from, offer.relinquished()));
+        changed |= !offer.relinquished();
       }
     }
-    for (ShardAccept accept : reach.accepts()) {
+    for (ShardAccept accept : reachability.accepts()) {
       changed |= onAccept(from, accept);
     }
     return changed;
@@ -182,7 +182,7 @@
         && from.equals(shards.owner(shard).orElse(null))
         && shards.incarnation(shard) == offer.incarnation()
         && shards.term(shard) <= offer.term()
-        && (offer.yielded() || (links.steady(LinkId.STATE) && !suppressed(shard)));
+        && (offer.relinquished() || (links.steady(LinkId.STATE) && !suppressed(shard)));
   }
 
   /** Relinquishes a shard whose offer is accepted; returns whether that was so. */
--- a/src/main/java/gladeknot/connectivity/PeerLinkObserver.java
+++ b/src/main/java/gladeknot/connectivity/PeerLinkObserver.java
@@ -1,7 +1,7 @@
 package gladeknot.connectivity;
 
 import gladeknot.peer.PeerReachability;
-import gladeknot.peer.PeerReachability.Heard;
+import gladeknot.peer.PeerReachability.Observation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -24,7 +24,7 @@
 
   /** What is known of one other controller. */
   private static final class Peer {
-    private PeerReachability reach;
+    private PeerReachability reachability;
     private long receivedMicros;
 
     /** The newest of this controller's records that it has received, by any report. */
@@ -36,7 +36,7 @@
   private final LinkTable links;
   private final Map<String, Peer> peers = new TreeMap<>();
   private final long[] sentMicros = new long[REMEMBERED];
-  private long life;
+  private long processStartMicros;
   private long sequence;
   private long nowMicros;
 
@@ -48,12 +48,12 @@
 
   /** Identifies this life of the process by the time of day at which it began. */
   void begin(long wallMicros) {
-    life = wallMicros;
+    processStartMicros = wallMicros;
   }
 
   /** This life of the process, as {@link #begin} named it. */
-  long life() {
-    return life;
+  long processStartMicros() {
+    return processStartMicros;
   }
 
   /** Numbers the record that is sent now. */
@@ -64,13 +64,19 @@
   }
 
   /** Which records have been received, here and by the peers' reports, for the next record. */
-  List<Heard> observations() {
-    List<Heard> rows = new ArrayList<>();
+  List<Observation> observations() {
+    List<Observation> rows = new ArrayList<>();
     peers.forEach(
-        (node, peer) -> rows.add(new Heard(self, node, peer.reach.life(), peer.reach.sequence())));
+        (node, peer) ->
+            rows.add(
+                new Observation(
+                    self,
+                    node,
+                    peer.reachability.processStartMicros(),
+                    peer.reachability.sequence())));
     for (Map.Entry<String, Peer> entry : peers.entrySet()) {
       if (fresh(entry.getValue())) {
-        for (Heard row : entry.getValue().reach.heard()) {
+        for (Observation row : entry.getValue().reachability.observations()) {
           boolean own = row.observer().equals(entry.getKey());
           if (own && rows.size() < PeerReachability.MAX_ENTRIES) {
             rows.add(row);
@@ -82,18 +88,19 @@
   }
 
   /** Takes in a peer's record; returns whether it is newer than those before it. */
-  boolean onReach(String from, PeerReachability reach) {
+  boolean onReach(String from, PeerReachability reachability) {
     Peer peer = peers.computeIfAbsent(from, f -> new Peer());
-    PeerReachability last = peer.reach;
-    if (last != null && !newer(peer, reach)) {
+    PeerReachability last = peer.reachability;
+    if (last != null && !newer(peer, reachability)) {
       return false;
     }
-    peer.reach = reach;
+    peer.reachability = reachability;
     peer.receivedMicros = nowMicros;
     links.health(LinkId.peer(from), Direction.INBOUND).proven(nowMicros);
-    for (Heard row : reach.heard()) {
+    for (Observation row : reachability.observations()) {
       Peer observer = peers.get(row.observer());
-      boolean ofThisNode = row.subject().equals(self) && row.life() == life;
+      boolean ofThisNode =
+          row.subject().equals(self) && row.processStartMicros() == processStartMicros;
       if (ofThisNode && observer != null) {
         echoed(row.observer(), observer, row.sequence());
       }
@@ -102,11 +109,12 @@
   }
 
   /** A new life is newer, even with a clock that was set back while no records arrived. */
-  private boolean newer(Peer peer, PeerReachability reach) {
-    if (reach.life() == peer.reach.life()) {
-      return reach.sequence() > peer.reach.sequence();
+  private boolean newer(Peer peer, PeerReachability reachability) {
+    if (reachability.processStartMicros() == peer.reachability.processStartMicros()) {
+      return reachability.sequence() > peer.reachability.sequence();
     }
-    return reach.life() > peer.reach.life() || !fresh(peer);
+    return reachability.processStartMicros() > peer.reachability.processStartMicros()
+        || !fresh(peer);
   }
 
   private void echoed(String node, Peer peer, long heardSequence) {
@@ -150,7 +158,7 @@
     }
     return peers.entrySet().stream()
         .filter(e -> e.getValue().receivedMicros >= sinceMicros)
-        .flatMap(e -> e.getValue().reach.heard().stream())
+        .flatMap(e -> e.getValue().reachability.observations().stream())
         .anyMatch(row -> row.observer().equals(node));
   }
 
@@ -167,6 +175,6 @@
   /** The newest record of a controller, unless it is overdue. */
   Optional<PeerReachability> freshReach(String node) {
     Peer peer = peers.get(node);
-    return peer != null && fresh(peer) ? Optional.of(peer.reach) : Optional.empty();
+    return peer != null && fresh(peer) ? Optional.of(peer.reachability) : Optional.empty();
   }
 }
--- a/src/main/java/gladeknot/connectivity/ReachFailoverAdvisor.java
+++ b/src/main/java/gladeknot/connectivity/ReachFailoverAdvisor.java
@@ -94,11 +94,11 @@
       peers
           .freshReach(node)
           .map(
-              reach ->
+              reachability ->
                   new Candidate(
                       node,
-                      reach.stateSteady(),
-                      ReachScore.of(workersByZone, reach, shard),
+                      reachability.stateSteady(),
+                      ReachScore.of(workersByZone, reachability, shard),
                       distance))
           .ifPresent(candidates::add);
     }
@@ -125,13 +125,13 @@
 
   @Override
   public boolean mayReturnHome(int shard, String home) {
-    Optional<PeerReachability> reach = peers.freshReach(home);
+    Optional<PeerReachability> reachability = peers.freshReach(home);
     Long keepUntil = keepUntilMicros.get(shard);
-    if (!feature.handover().enabled() || reach.isEmpty() || keepUntil == null) {
+    if (!feature.handover().enabled() || reachability.isEmpty() || keepUntil == null) {
       return true;
     }
     return nowMicros >= keepUntil
-        && reach.get().stateSteady()
+        && reachability.get().stateSteady()
         && !offers.suppressed(shard)
         && (population.workersByZone(shard).isEmpty() || canary.succeeded(shard));
   }
@@ -157,11 +157,11 @@
     }
     boolean anyFresh = false;
     for (Settings.Member member : settings.members()) {
-      Optional<PeerReachability> reach = peers.freshReach(member.node());
-      if (reach.isPresent() && reach.get().stateSteady()) {
+      Optional<PeerReachability> reachability = peers.freshReach(member.node());
+      if (reachability.isPresent() && reachability.get().stateSteady()) {
         return true;
       }
-      anyFresh |= reach.isPresent();
+      anyFresh |= reachability.isPresent();
     }
     return !anyFresh;
   }
--- a/src/main/java/gladeknot/connectivity/ReachReporter.java
+++ b/src/main/java/gladeknot/connectivity/ReachReporter.java
@@ -4,7 +4,7 @@
 import gladeknot.peer.PeerMessage;
 import gladeknot.peer.PeerReachability;
 import gladeknot.peer.PeerReachability.ShardContact;
-import gladeknot.peer.PeerReachability.ZoneReach;
+import gladeknot.peer.PeerReachability.ZoneReachability;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -45,9 +45,9 @@
   /** Sends a report now. */
   void report(long nowMicros) {
     nextReportMicros = nowMicros + intervalMicros;
-    PeerReachability reach =
+    PeerReachability reachability =
         new PeerReachability(
-            peers.life(),
+            peers.processStartMicros(),
             peers.nextSequence(),
             links.steady(LinkId.STATE),
             peers.observations(),
@@ -55,7 +55,7 @@
             contacts(),
             offers.offers(),
             offers.accepts());
-    outbox.sendToPeers(PeerMessage.ofReach(node, reach));
+    outbox.sendToPeers(PeerMessage.ofReachability(node, reachability));
   }
 
   /** How well this controller reaches the workers of a shard, from 0 to 100. */
@@ -63,7 +63,7 @@
     return ReachScore.of(workersByZone, zones(), contacts(), shard);
   }
 
-  private List<ZoneReach> zones() {
+  private List<ZoneReachability> zones() {
     Map<String, Integer> percents = new TreeMap<>();
     for (LinkTable.DirectionState state : links.all()) {
       if (state.link().kind() == LinkId.Kind.WORKERS) {
@@ -72,7 +72,7 @@
     }
     return percents.entrySet().stream()
         .limit(PeerReachability.MAX_ENTRIES)
-        .map(zone -> new ZoneReach(zone.getKey(), zone.getValue()))
+        .map(zone -> new ZoneReachability(zone.getKey(), zone.getValue()))
         .toList();
   }
 
--- a/src/main/java/gladeknot/connectivity/ReachScore.java
+++ b/src/main/java/gladeknot/connectivity/ReachScore.java
@@ -2,7 +2,7 @@
 
 import gladeknot.peer.PeerReachability;
 import gladeknot.peer.PeerReachability.ShardContact;
-import gladeknot.peer.PeerReachability.ZoneReach;
+import gladeknot.peer.PeerReachability.ZoneReachability;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -32,7 +32,7 @@
    */
   static int of(
       Map<String, Integer> workersByZone,
-      List<ZoneReach> zones,
+      List<ZoneReachability> zones,
       List<ShardContact> contacts,
       int shard) {
     int all = workersByZone.values().stream().mapToInt(Integer::intValue).sum();
@@ -55,7 +55,7 @@
   }
 
   /** The score of a controller by its own record. */
-  static int of(Map<String, Integer> workersByZone, PeerReachability reach, int shard) {
-    return of(workersByZone, reach.zones(), reach.contacts(), shard);
+  static int of(Map<String, Integer> workersByZone, PeerReachability reachability, int shard) {
+    return of(workersByZone, reachability.zones(), reachability.contacts(), shard);
   }
 }
--- a/src/main/java/gladeknot/peer/PeerMessage.java
+++ b/src/main/java/gladeknot/peer/PeerMessage.java
@@ -14,7 +14,7 @@
  * @param term the term under which the sender owns that shard; 0 if the message is about none
  * @param deficits what the teams' quota lacks in the shard
  * @param cancelledJobs the ids of cancelled jobs
- * @param reach what the sender reaches
+ * @param reachability what the sender reaches
  */
 public record PeerMessage(
     String from,
@@ -22,7 +22,7 @@
     long term,
     List<QuotaDeficit> deficits,
     List<String> cancelledJobs,
-    Optional<PeerReachability> reach) {
+    Optional<PeerReachability> reachability) {
   /** What a team's quota lacks in a shard; CPUs and GPUs in thousandths. */
   public record QuotaDeficit(String team, long cpus, long gpus) {}
 
@@ -48,8 +48,8 @@
   }
 
   /** A message about what a controller reaches. */
-  public static PeerMessage ofReach(String from, PeerReachability reach) {
-    return new PeerMessage(from, NO_SHARD, 0, List.of(), List.of(), Optional.of(reach));
+  public static PeerMessage ofReachability(String from, PeerReachability reachability) {
+    return new PeerMessage(from, NO_SHARD, 0, List.of(), List.of(), Optional.of(reachability));
   }
 
   /** The message in the form in which it is sent. */
--- a/src/main/java/gladeknot/peer/PeerMessageCodec.java
+++ b/src/main/java/gladeknot/peer/PeerMessageCodec.java
@@ -38,7 +38,7 @@
   }
 
   private static void write(PeerMessage message, DataOutputStream out) throws IOException {
-    out.writeByte(message.reach().isPresent() ? FORMAT_REACH : FORMAT_CANCELLATIONS);
+    out.writeByte(message.reachability().isPresent() ? FORMAT_REACH : FORMAT_CANCELLATIONS);
     out.writeUTF(message.from());
     out.writeInt(message.shard());
     out.writeLong(message.term());
@@ -52,9 +52,9 @@
     for (String id : message.cancelledJobs()) {
       out.writeUTF(id);
     }
-    if (message.reach().isPresent()) {
+    if (message.reachability().isPresent()) {
       out.writeBoolean(true);
-      PeerReachabilityCodec.write(message.reach().get(), out);
+      PeerReachabilityCodec.write(message.reachability().get(), out);
     }
   }
 
@@ -86,11 +86,11 @@
     }
     List<String> cancelledJobs =
         format >= FORMAT_CANCELLATIONS ? readCancelledJobs(in) : new ArrayList<>();
-    Optional<PeerReachability> reach =
+    Optional<PeerReachability> reachability =
         format >= FORMAT_REACH && in.readBoolean()
             ? Optional.of(PeerReachabilityCodec.read(in))
             : Optional.empty();
-    return new PeerMessage(from, shard, term, deficits, cancelledJobs, reach);
+    return new PeerMessage(from, shard, term, deficits, cancelledJobs, reachability);
   }
 
   private static List<String> readCancelledJobs(DataInputStream in) throws IOException {
--- a/src/main/java/gladeknot/peer/PeerReachabilityCodec.java
+++ b/src/main/java/gladeknot/peer/PeerReachabilityCodec.java
@@ -1,10 +1,10 @@
 package gladeknot.peer;
 
-import gladeknot.peer.PeerReachability.Heard;
+import gladeknot.peer.PeerReachability.Observation;
 import gladeknot.peer.PeerReachability.ShardAccept;
 import gladeknot.peer.PeerReachability.ShardContact;
 import gladeknot.peer.PeerReachability.ShardOffer;
-import gladeknot.peer.PeerReachability.ZoneReach;
+import gladeknot.peer.PeerReachability.ZoneReachability;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -25,15 +25,15 @@
 
   private PeerReachabilityCodec() {}
 
-  static void write(PeerReachability reach, DataOutputStream out) throws IOException {
-    out.writeLong(reach.life());
-    out.writeLong(reach.sequence());
-    out.writeBoolean(reach.stateSteady());
-    writeList(reach.heard(), out, heard -> write(heard, out));
-    writeList(reach.zones(), out, zone -> write(zone, out));
-    writeList(reach.contacts(), out, contact -> write(contact, out));
-    writeList(reach.offers(), out, offer -> write(offer, out));
-    writeList(reach.accepts(), out, accept -> write(accept, out));
+  static void write(PeerReachability reachability, DataOutputStream out) throws IOException {
+    out.writeLong(reachability.processStartMicros());
+    out.writeLong(reachability.sequence());
+    out.writeBoolean(reachability.stateSteady());
+    writeList(reachability.observations(), out, heard -> write(heard, out));
+    writeList(reachability.zones(), out, zone -> write(zone, out));
+    writeList(reachability.contacts(), out, contact -> write(contact, out));
+    writeList(reachability.offers(), out, offer -> write(offer, out));
+    writeList(reachability.accepts(), out, accept -> write(accept, out));
   }
 
   private static <T> void writeList(List<T> list, DataOutputStream out, ElementWriter<T> writer)
@@ -44,14 +44,14 @@
     }
   }
 
-  private static void write(Heard heard, DataOutputStream out) throws IOException {
+  private static void write(Observation heard, DataOutputStream out) throws IOException {
     out.writeUTF(heard.observer());
     out.writeUTF(heard.subject());
-    out.writeLong(heard.life());
+    out.writeLong(heard.processStartMicros());
     out.writeLong(heard.sequence());
   }
 
-  private static void write(ZoneReach zone, DataOutputStream out) throws IOException {
+  private static void write(ZoneReachability zone, DataOutputStream out) throws IOException {
     out.writeUTF(zone.zone());
     out.writeInt(zone.percent());
   }
@@ -66,7 +66,7 @@
     out.writeLong(offer.incarnation());
     out.writeLong(offer.term());
     out.writeUTF(offer.to());
-    out.writeBoolean(offer.yielded());
+    out.writeBoolean(offer.relinquished());
   }
 
   private static void write(ShardAccept accept, DataOutputStream out) throws IOException {
@@ -78,20 +78,20 @@
   /** Reads what a controller reaches; fails with IOException when a value is out of its range. */
   static PeerReachability read(DataInputStream in) throws IOException {
     // Arguments are evaluated from first to last, as they were written.
-    PeerReachability reach =
+    PeerReachability reachability =
         new PeerReachability(
             in.readLong(),
             in.readLong(),
             in.readBoolean(),
             readList(in, () -> readHeard(in)),
-            readList(in, () -> new ZoneReach(in.readUTF(), in.readInt())),
+            readList(in, () -> new ZoneReachability(in.readUTF(), in.readInt())),
             readList(in, () -> new ShardContact(in.readInt(), in.readInt())),
             readList(in, () -> readOffer(in)),
             readList(in, () -> new ShardAccept(in.readInt(), in.readLong(), in.readUTF())));
-    if (!isInRange(reach)) {
+    if (!isInRange(reachability)) {
       throw new IOException("out of range");
     }
-    return reach;
+    return reachability;
   }
 
   private static <T> List<T> readList(DataInputStream in, ElementReader<T> reader)
@@ -107,8 +107,8 @@
     return list;
   }
 
-  private static Heard readHeard(DataInputStream in) throws IOException {
-    return new Heard(in.readUTF(), in.readUTF(), in.readLong(), in.readLong());
+  private static Observation readHeard(DataInputStream in) throws IOException {
+    return new Observation(in.readUTF(), in.readUTF(), in.readLong(), in.readLong());
   }
 
   private static ShardOffer readOffer(DataInputStream in) throws IOException {
@@ -116,15 +116,15 @@
         in.readInt(), in.readLong(), in.readLong(), in.readUTF(), in.readBoolean());
   }
 
-  private static boolean isInRange(PeerReachability reach) {
-    return reach.sequence() >= 1
-        && reach.zones().stream().allMatch(PeerReachabilityCodec::isInRange)
-        && reach.contacts().stream().allMatch(PeerReachabilityCodec::isInRange)
-        && reach.offers().stream().allMatch(PeerReachabilityCodec::isInRange)
-        && reach.accepts().stream().allMatch(PeerReachabilityCodec::isInRange);
+  private static boolean isInRange(PeerReachability reachability) {
+    return reachability.sequence() >= 1
+        && reachability.zones().stream().allMatch(PeerReachabilityCodec::isInRange)
+        && reachability.contacts().stream().allMatch(PeerReachabilityCodec::isInRange)
+        && reachability.offers().stream().allMatch(PeerReachabilityCodec::isInRange)
+        && reachability.accepts().stream().allMatch(PeerReachabilityCodec::isInRange);
   }
 
-  private static boolean isInRange(ZoneReach zone) {
+  private static boolean isInRange(ZoneReachability zone) {
     return zone.percent() >= 0 && zone.percent() <= MAX_PERCENT;
   }
 
--- a/src/test/java/gladeknot/connectivity/LinkJudgementTest.java
+++ b/src/test/java/gladeknot/connectivity/LinkJudgementTest.java
@@ -6,7 +6,7 @@
 
 import gladeknot.connectivity.OwnerSelector.Candidate;
 import gladeknot.peer.PeerReachability.ShardContact;
-import gladeknot.peer.PeerReachability.ZoneReach;
+import gladeknot.peer.PeerReachability.ZoneReachability;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -117,7 +117,8 @@
 
   @Test
   void reachIsTheMeanOverWorkersOrTheShareThatReported() {
-    List<ZoneReach> zones = List.of(new ZoneReach("a", 100), new ZoneReach("b", 0));
+    List<ZoneReachability> zones =
+        List.of(new ZoneReachability("a", 100), new ZoneReachability("b", 0));
     Map<String, Integer> workers = Map.of("a", 1, "b", 3);
     assertEquals(25, ReachScore.of(workers, zones, List.of(), 0));
     assertEquals(50, ReachScore.of(Map.of("c", 7), zones, List.of(), 0));
--- a/src/test/java/gladeknot/golden/GoldenPeersTest.java
+++ b/src/test/java/gladeknot/golden/GoldenPeersTest.java
@@ -48,11 +48,11 @@
               PeerMessage.ofCancelledJobs("node-1", List.of("req-000412", "req-b"))),
           new Case(
               "reach-empty.hex",
-              PeerMessage.ofReach(
+              PeerMessage.ofReachability(
                   "node-2",
                   new PeerReachability(
                       5, 1, false, List.of(), List.of(), List.of(), List.of(), List.of()))),
-          new Case("reach.hex", PeerMessage.ofReach("node-1", reach())));
+          new Case("reach.hex", PeerMessage.ofReachability("node-1", reach())));
 
   private static PeerReachability reach() {
     return new PeerReachability(
@@ -60,9 +60,11 @@
         LARGE,
         true,
         List.of(
-            new PeerReachability.Heard("node-1", "node-0", 4, 7),
-            new PeerReachability.Heard("node-2", "node-0", LARGE, 8)),
-        List.of(new PeerReachability.ZoneReach("a", 75), new PeerReachability.ZoneReach("b", 100)),
+            new PeerReachability.Observation("node-1", "node-0", 4, 7),
+            new PeerReachability.Observation("node-2", "node-0", LARGE, 8)),
+        List.of(
+            new PeerReachability.ZoneReachability("a", 75),
+            new PeerReachability.ZoneReachability("b", 100)),
         List.of(new PeerReachability.ShardContact(0, 3), new PeerReachability.ShardContact(1, 0)),
         List.of(
             new PeerReachability.ShardOffer(1, 4, 9, "node-2", true),
--- a/src/test/java/gladeknot/peer/PeerMessageTest.java
+++ b/src/test/java/gladeknot/peer/PeerMessageTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import gladeknot.peer.PeerReachability.Heard;
+import gladeknot.peer.PeerReachability.Observation;
 import gladeknot.peer.PeerReachability.ShardOffer;
-import gladeknot.peer.PeerReachability.ZoneReach;
+import gladeknot.peer.PeerReachability.ZoneReachability;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.Collections;
@@ -24,14 +24,14 @@
           Optional.empty());
 
   private static final PeerMessage REACH =
-      PeerMessage.ofReach(
+      PeerMessage.ofReachability(
           "node-1",
           new PeerReachability(
               5,
               8,
               true,
-              List.of(new PeerReachability.Heard("node-1", "node-0", 4, 7)),
-              List.of(new PeerReachability.ZoneReach("a", 75)),
+              List.of(new PeerReachability.Observation("node-1", "node-0", 4, 7)),
+              List.of(new PeerReachability.ZoneReachability("a", 75)),
               List.of(new PeerReachability.ShardContact(0, 3)),
               List.of(new PeerReachability.ShardOffer(1, 4, 9, "node-2", true)),
               List.of(new PeerReachability.ShardAccept(2, 11, "node-0"))));
@@ -48,26 +48,32 @@
     refused(REACH.encode());
   }
 
-  private static PeerReachability reach(
-      long sequence, List<Heard> heard, List<ZoneReach> zones, List<ShardOffer> offers) {
-    return new PeerReachability(5, sequence, true, heard, zones, List.of(), offers, List.of());
+  private static PeerReachability reachability(
+      long sequence,
+      List<Observation> observations,
+      List<ZoneReachability> zones,
+      List<ShardOffer> offers) {
+    return new PeerReachability(
+        5, sequence, true, observations, zones, List.of(), offers, List.of());
   }
 
   /** The values of a record are within their ranges, or it is refused whole. */
   @Test
   void valuesOutOfRangeAreRefused() {
-    Heard row = new Heard("node-1", "node-0", 4, 7);
-    List<Heard> tooMany = Collections.nCopies(PeerReachability.MAX_ENTRIES + 1, row);
+    Observation row = new Observation("node-1", "node-0", 4, 7);
+    List<Observation> tooMany = Collections.nCopies(PeerReachability.MAX_ENTRIES + 1, row);
     List<PeerReachability> wrong =
         List.of(
-            reach(0, List.of(), List.of(), List.of()),
-            reach(8, List.of(), List.of(new ZoneReach("a", 101)), List.of()),
-            reach(8, List.of(), List.of(new ZoneReach("a", -1)), List.of()),
-            reach(8, List.of(), List.of(), List.of(new ShardOffer(1, 4, 0, "node-2", false))),
-            reach(8, List.of(), List.of(), List.of(new ShardOffer(-1, 4, 9, "node-2", true))),
-            reach(8, tooMany, List.of(), List.of()));
-    for (PeerReachability reach : wrong) {
-      byte[] record = PeerMessage.ofReach("node-1", reach).encode();
+            reachability(0, List.of(), List.of(), List.of()),
+            reachability(8, List.of(), List.of(new ZoneReachability("a", 101)), List.of()),
+            reachability(8, List.of(), List.of(new ZoneReachability("a", -1)), List.of()),
+            reachability(
+                8, List.of(), List.of(), List.of(new ShardOffer(1, 4, 0, "node-2", false))),
+            reachability(
+                8, List.of(), List.of(), List.of(new ShardOffer(-1, 4, 9, "node-2", true))),
+            reachability(8, tooMany, List.of(), List.of()));
+    for (PeerReachability reachability : wrong) {
+      byte[] record = PeerMessage.ofReachability("node-1", reachability).encode();
       assertThrows(IOException.class, () -> PeerMessage.decode(record));
     }
   }
