--- a/src/main/java/gladeknot/connectivity/Authority.java
+++ b/src/main/java/gladeknot/connectivity/Authority.java
@@ -11,10 +11,10 @@
     boolean inDoubt(int shard);
 
     /** Whether the watch cache is loaded. */
-    boolean copyLoaded();
+    boolean cacheLoaded();
 
     /** Whether the watch cache is recent enough for runs to be sent by it. */
-    boolean copyFresh();
+    boolean cacheFresh();
   }
 
   /** The verdict on the link to the state service; it can only take authority away. */
@@ -102,8 +102,8 @@
     return switch (requirement) {
       case LEASE -> facts.leaseHolds(shard);
       case SETTLED -> !facts.inDoubt(shard);
-      case LOADED -> facts.copyLoaded();
-      case FRESH_COPY -> facts.copyFresh();
+      case LOADED -> facts.cacheLoaded();
+      case FRESH_COPY -> facts.cacheFresh();
       case STATE_LINK -> stateLink.usable();
     };
   }
--- a/src/main/java/gladeknot/lifecycle/SliceMonitor.java
+++ b/src/main/java/gladeknot/lifecycle/SliceMonitor.java
@@ -38,7 +38,7 @@
 
   /** Checks the jobs whose slices have changed, if it is time. */
   void tick(long nowMicros) {
-    if (nowMicros < nextMicros || !membership.copyLoaded()) {
+    if (nowMicros < nextMicros || !membership.cacheLoaded()) {
       return;
     }
     nextMicros = nowMicros + INTERVAL_MICROS;
--- a/src/main/java/gladeknot/membership/Membership.java
+++ b/src/main/java/gladeknot/membership/Membership.java
@@ -121,7 +121,7 @@
   }
 
   @Override
-  public boolean copyLoaded() {
+  public boolean cacheLoaded() {
     return stateStore.loaded();
   }
 
@@ -130,7 +130,7 @@
    * committed while the state service does not answer, so that little waits for this.
    */
   @Override
-  public boolean copyFresh() {
+  public boolean cacheFresh() {
     long age = nowMicros - stateStore.currentAsOfMicros();
     return age < times.stateLeaseMicros() / FRESH_LEASE_DIVISOR;
   }
--- a/src/test/java/gladeknot/connectivity/AuthorityTest.java
+++ b/src/test/java/gladeknot/connectivity/AuthorityTest.java
@@ -26,12 +26,12 @@
     }
 
     @Override
-    public boolean copyLoaded() {
+    public boolean cacheLoaded() {
       return missing != Requirement.LOADED;
     }
 
     @Override
-    public boolean copyFresh() {
+    public boolean cacheFresh() {
       return missing != Requirement.FRESH_COPY;
     }
 
