--- a/src/main/java/gladeknot/connectivity/Authority.java
+++ b/src/main/java/gladeknot/connectivity/Authority.java
@@ -1,25 +1,28 @@
 package gladeknot.connectivity;
 
-/** Decides what may be done for a shard now, by {@link ControlAction}'s table. */
+/** Decides which actions are permitted for a shard, by the table in {@link ControlAction}. */
 public final class Authority {
-  /** What leases, transactions and the watch cache show of a shard. */
+  /** The state of leases, transactions and the watch cache on which authority depends. */
   public interface ShardFacts {
-    /** Whether the shard is owned, not being handed over, and the state lease surely holds. */
+    /**
+     * Returns whether the shard is owned and not being handed over, and the state lease is certain
+     * to be held still.
+     */
     boolean leaseHolds(int shard);
 
-    /** Whether the outcome of a transaction for the shard is unknown. */
+    /** Returns whether the outcome of a transaction for the shard is unknown. */
     boolean inDoubt(int shard);
 
-    /** Whether the watch cache is loaded. */
+    /** Returns whether the watch cache is loaded. */
     boolean cacheLoaded();
 
-    /** Whether the watch cache is recent enough for runs to be sent by it. */
+    /** Returns whether the watch cache is recent enough to send run commands based on it. */
     boolean cacheFresh();
   }
 
-  /** The verdict on the link to the state service; it can only take authority away. */
+  /** The verdict on the link to the state service. It can only take authority away. */
   public interface StateLink {
-    /** Without knowledge of links no authority is taken away. */
+    /** Takes no authority away; used when links are not observed. */
     StateLink TRUSTED =
         new StateLink() {
           @Override
@@ -33,59 +36,59 @@
           }
         };
 
-    /** Whether the state service can be reached in both directions, and serves. */
+    /** Returns whether the state service is reachable in both directions and serves requests. */
     boolean usable();
 
-    /** The direction that fails and since when, in words; empty if none does. */
+    /** Describes the direction that fails and for how long; empty if none fails. */
     String fault();
   }
 
-  /** What full authority needs besides the lease. */
-  private static final Requirement[] BESIDES_LEASE = {
-    Requirement.SETTLED, Requirement.LOADED, Requirement.FRESH_COPY, Requirement.STATE_LINK
+  /** The requirements of full authority other than the lease. */
+  private static final Requirement[] REQUIREMENTS_BESIDES_LEASE = {
+    Requirement.SETTLED, Requirement.CACHE_LOADED, Requirement.CACHE_FRESH, Requirement.STATE_LINK
   };
 
   private final ShardFacts facts;
   private final StateLink stateLink;
 
-  /** Authority by the given facts. */
+  /** Creates the authority based on the given facts. */
   public Authority(ShardFacts facts, StateLink stateLink) {
     this.facts = facts;
     this.stateLink = stateLink;
   }
 
-  /** Whether an action of this kind may be taken for a shard. */
+  /** Returns whether an action of this kind may be taken for a shard. */
   public boolean permits(ControlAction kind, int shard) {
     for (Requirement requirement : kind.requirements()) {
-      if (!holds(requirement, shard)) {
+      if (!isMet(requirement, shard)) {
         return false;
       }
     }
     return true;
   }
 
-  /** Why users get no answer that is not final; null if they get one. */
+  /** Returns why users get no answers other than final ones; null if they get them. */
   public String refusal() {
     return stateLink.usable() ? null : describe(Requirement.STATE_LINK);
   }
 
-  /** A shard's authority as a whole. */
+  /** Returns the level of a shard's authority. */
   public AuthorityLevel level(int shard) {
-    if (!holds(Requirement.LEASE, shard)) {
+    if (!isMet(Requirement.LEASE, shard)) {
       return AuthorityLevel.RELINQUISHED;
     }
-    return missing(shard) == null ? AuthorityLevel.FULL : AuthorityLevel.NO_NEW_ORDERS;
+    return unmet(shard) == null ? AuthorityLevel.FULL : AuthorityLevel.NO_NEW_ORDERS;
   }
 
-  /** What keeps a shard from full authority, in words; empty if nothing does. */
+  /** Describes what keeps a shard from full authority; empty if nothing does. */
   public String cause(int shard) {
-    Requirement missing = holds(Requirement.LEASE, shard) ? missing(shard) : Requirement.LEASE;
-    return missing == null ? "" : describe(missing);
+    Requirement unmet = isMet(Requirement.LEASE, shard) ? unmet(shard) : Requirement.LEASE;
+    return unmet == null ? "" : describe(unmet);
   }
 
-  private Requirement missing(int shard) {
-    for (Requirement requirement : BESIDES_LEASE) {
-      if (!holds(requirement, shard)) {
+  private Requirement unmet(int shard) {
+    for (Requirement requirement : REQUIREMENTS_BESIDES_LEASE) {
+      if (!isMet(requirement, shard)) {
         return requirement;
       }
     }
@@ -94,16 +97,16 @@
 
   private String describe(Requirement requirement) {
     String fault = stateLink.fault();
-    boolean byLink = requirement != Requirement.LOADED && !fault.isEmpty();
-    return byLink ? requirement.missing() + ": " + fault : requirement.missing();
+    boolean causedByLink = requirement != Requirement.CACHE_LOADED && !fault.isEmpty();
+    return causedByLink ? requirement.unmetMessage() + ": " + fault : requirement.unmetMessage();
   }
 
-  private boolean holds(Requirement requirement, int shard) {
+  private boolean isMet(Requirement requirement, int shard) {
     return switch (requirement) {
       case LEASE -> facts.leaseHolds(shard);
       case SETTLED -> !facts.inDoubt(shard);
-      case LOADED -> facts.cacheLoaded();
-      case FRESH_COPY -> facts.cacheFresh();
+      case CACHE_LOADED -> facts.cacheLoaded();
+      case CACHE_FRESH -> facts.cacheFresh();
       case STATE_LINK -> stateLink.usable();
     };
   }
--- a/src/main/java/gladeknot/connectivity/AuthorityLevel.java
+++ b/src/main/java/gladeknot/connectivity/AuthorityLevel.java
@@ -1,24 +1,25 @@
 package gladeknot.connectivity;
 
 /**
- * A shard's authority in one word, for operators; what is allowed is {@link ControlAction}'s table.
+ * A summary of a shard's authority for operators. The permitted actions themselves are in the table
+ * of {@link ControlAction}.
  */
 public enum AuthorityLevel {
-  /** Every order may be given. */
+  /** Every action is permitted. */
   FULL("full"),
-  /** Tasks are kept alive and ended, and nothing new is begun. */
+  /** Running tasks are kept alive and can be ended; nothing new is started. */
   NO_NEW_ORDERS("no new orders"),
-  /** Nothing may be done for the shard. */
+  /** No action that requires ownership of the shard is permitted. */
   RELINQUISHED("relinquished");
 
-  private final String word;
+  private final String displayName;
 
-  AuthorityLevel(String word) {
-    this.word = word;
+  AuthorityLevel(String displayName) {
+    this.displayName = displayName;
   }
 
-  /** The words for logs and the operators' listener. */
-  public String word() {
-    return word;
+  /** Returns the text for logs and the operators' listener. */
+  public String displayName() {
+    return displayName;
   }
 }
--- a/src/main/java/gladeknot/connectivity/AuthorityLog.java
+++ b/src/main/java/gladeknot/connectivity/AuthorityLog.java
@@ -7,24 +7,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs each change of a shard's level of authority once, and keeps the last changes. */
+/** Logs each change of a shard's authority level once and keeps the most recent changes. */
 final class AuthorityLog {
   private static final Logger LOG = LoggerFactory.getLogger(AuthorityLog.class);
 
-  /** How many changes are kept for the status. */
-  private static final int KEPT = 10;
+  /** Maximum number of changes kept for the status. */
+  private static final int MAX_KEPT_CHANGES = 10;
 
-  /** One change, by the time of day. */
+  /** A change of a shard's level; {@code wallMicros} is the time of day. */
   record Change(long wallMicros, int shard, AuthorityLevel from, AuthorityLevel to, String cause) {}
 
   private final Map<Integer, AuthorityLevel> levels = new HashMap<>();
-  private final EvictingQueue<Change> changes = EvictingQueue.create(KEPT);
+  private final EvictingQueue<Change> changes = EvictingQueue.create(MAX_KEPT_CHANGES);
 
-  /** Observes one shard's level now. */
+  /** Records the current level of a shard, and logs it if it has changed. */
   void observe(int shard, Authority authority, long wallMicros) {
     AuthorityLevel level = authority.level(shard);
-    AuthorityLevel before = levels.getOrDefault(shard, AuthorityLevel.RELINQUISHED);
-    if (before == level) {
+    AuthorityLevel previousLevel = levels.getOrDefault(shard, AuthorityLevel.RELINQUISHED);
+    if (previousLevel == level) {
       return;
     }
     levels.put(shard, level);
@@ -32,14 +32,14 @@
     LOG.info(
         "authority for shard {}: {} after {}{}",
         shard,
-        level.word(),
-        before.word(),
+        level.displayName(),
+        previousLevel.displayName(),
         cause.isEmpty() ? "" : "; " + cause);
-    changes.add(new Change(wallMicros, shard, before, level, cause));
+    changes.add(new Change(wallMicros, shard, previousLevel, level, cause));
   }
 
-  /** The last changes, the newest last. */
-  List<Change> last() {
+  /** Returns the most recent changes, the newest last. */
+  List<Change> recentChanges() {
     return List.copyOf(changes);
   }
 }
--- a/src/main/java/gladeknot/connectivity/CanaryProbe.java
+++ b/src/main/java/gladeknot/connectivity/CanaryProbe.java
@@ -5,39 +5,39 @@
 import java.util.OptionalInt;
 
 /**
- * Probes whether a shard's workers can reach its home controller again, before the shard returns
- * there. One worker, the canary, is redirected to the home, which redirects it back since it does
- * not own the shard. If the canary is back sooner than a worker waits for an answer, it has got
- * through in both directions.
+ * Probes whether a shard's workers can reach its home controller again, before the shard returns to
+ * it. One worker, the canary, is redirected to the home controller, which redirects it back because
+ * it does not own the shard. If the canary is back before a worker's response timeout, the link
+ * between the worker and the home controller works in both directions.
  */
 final class CanaryProbe {
-  /** A worker waits so long for an answer; a canary that is back by then has had one. */
-  private static final long ANSWER_WAIT_MICROS = 4_000_000;
+  /** A worker's response timeout; a canary that is back earlier has received a response. */
+  private static final long RESPONSE_TIMEOUT_MICROS = 4_000_000;
 
-  /** After so long a canary is taken as lost. */
-  private static final long LOST_MICROS = 15_000_000;
+  /** Time after which a canary that is not back counts as lost. */
+  private static final long CANARY_TIMEOUT_MICROS = 15_000_000;
 
-  /** For so long a worker without tasks is preferred as the canary. */
-  private static final long IDLE_WAIT_MICROS = 3_000_000;
+  /** Time during which only a worker without tasks is selected as the canary. */
+  private static final long IDLE_PREFERENCE_MICROS = 3_000_000;
 
-  /** For so long a probe that succeeded counts. */
-  private static final long VALID_MICROS = 5_000_000;
+  /** Time for which a successful probe remains valid. */
+  private static final long SUCCESS_VALIDITY_MICROS = 5_000_000;
 
-  private static final long NEVER = Long.MIN_VALUE / 2;
+  private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
-  /** The probe of one shard: first wanted, then with a canary on its way, then succeeded. */
+  /** The probe of one shard: requested, then with a canary redirected, then succeeded. */
   private static final class Probe {
-    private final long wantedMicros;
+    private final long requestedMicros;
     private String canary;
-    private long redirectedMicros = NEVER;
-    private long succeededMicros = NEVER;
+    private long redirectedMicros = NEVER_MICROS;
+    private long succeededMicros = NEVER_MICROS;
 
-    private Probe(long wantedMicros) {
-      this.wantedMicros = wantedMicros;
+    private Probe(long requestedMicros) {
+      this.requestedMicros = requestedMicros;
     }
 
     private boolean succeeded() {
-      return succeededMicros != NEVER;
+      return succeededMicros != NEVER_MICROS;
     }
   }
 
@@ -45,11 +45,11 @@
   private long nowMicros;
 
   /** Advances the time; returns a shard whose canary is lost, if there is one. */
-  OptionalInt tick(long now) {
-    nowMicros = now;
+  OptionalInt tick(long steadyMicros) {
+    nowMicros = steadyMicros;
     for (Map.Entry<Integer, Probe> entry : probes.entrySet()) {
       Probe probe = entry.getValue();
-      if (probe.canary != null && now - probe.redirectedMicros > LOST_MICROS) {
+      if (probe.canary != null && steadyMicros - probe.redirectedMicros > CANARY_TIMEOUT_MICROS) {
         probes.remove(entry.getKey());
         return OptionalInt.of(entry.getKey());
       }
@@ -57,9 +57,7 @@
     return OptionalInt.empty();
   }
 
-  /**
-   * Whether a shard's probe succeeded recently; if there is no probe, one is wanted from now on.
-   */
+  /** Returns whether a shard's probe succeeded recently; requests a probe if there is none. */
   boolean succeeded(int shard) {
     Probe probe = probes.get(shard);
     if (probe == null) {
@@ -69,20 +67,20 @@
     if (!probe.succeeded()) {
       return false;
     }
-    if (nowMicros - probe.succeededMicros > VALID_MICROS) {
+    if (nowMicros - probe.succeededMicros > SUCCESS_VALIDITY_MICROS) {
       probes.remove(shard);
       return false;
     }
     return true;
   }
 
-  /** Whether a worker that sends a heartbeat is to be the canary; it is redirected if so. */
+  /** Returns whether the sender of a heartbeat is selected as the canary, to be redirected. */
   boolean selectAsCanary(int shard, String host, boolean idle) {
     Probe probe = probes.get(shard);
     if (probe == null || probe.canary != null || probe.succeeded()) {
       return false;
     }
-    if (!idle && nowMicros - probe.wantedMicros < IDLE_WAIT_MICROS) {
+    if (!idle && nowMicros - probe.requestedMicros < IDLE_PREFERENCE_MICROS) {
       return false;
     }
     probe.canary = host;
@@ -90,13 +88,13 @@
     return true;
   }
 
-  /** A worker sends a heartbeat; returns whether it is the canary and has come back too late. */
-  boolean failedBy(int shard, String host) {
+  /** Handles a heartbeat; returns whether its sender is the canary and came back too late. */
+  boolean onHeartbeat(int shard, String host) {
     Probe probe = probes.get(shard);
     if (probe == null || !host.equals(probe.canary)) {
       return false;
     }
-    if (nowMicros - probe.redirectedMicros < ANSWER_WAIT_MICROS) {
+    if (nowMicros - probe.redirectedMicros < RESPONSE_TIMEOUT_MICROS) {
       probe.canary = null;
       probe.succeededMicros = nowMicros;
       return false;
@@ -105,8 +103,8 @@
     return true;
   }
 
-  /** The shard is not owned any more. */
-  void forget(int shard) {
+  /** Ends the probe of a shard that is no longer owned. */
+  void remove(int shard) {
     probes.remove(shard);
   }
 }
--- a/src/main/java/gladeknot/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/gladeknot/connectivity/ConnectivityMonitor.java
@@ -9,8 +9,9 @@
 import java.util.Optional;
 
 /**
- * Observes this controller's links, reports to the others what it reaches, and advises by that who
- * should own a shard and whether new actions may be taken. The feature {@code partial-cuts}.
+ * Observes this controller's links and reports its reachability to the other controllers. Based on
+ * this, advises which controller should own a shard and whether new actions may be taken.
+ * Implements the feature {@code partial-cuts}.
  */
 public final class ConnectivityMonitor
     implements Authority.StateLink, FailoverAdvisor, HeartbeatObserver {
@@ -23,21 +24,21 @@
   private final ServiceLinkObserver services;
   private final WorkerLinkObserver workers;
   private final PeerLinkObserver peers;
-  private final CanaryProbe canary = new CanaryProbe();
+  private final CanaryProbe canaryProbe = new CanaryProbe();
   private final AuthorityLog authorityLog = new AuthorityLog();
   private ShardView shards;
   private Authority authority;
   private ShardPopulation population;
   private FailoverOffers offers;
-  private ReachReporter reporter;
-  private ReachFailoverAdvisor advisor;
-  private Optional<LinkTable.DirectionState> stateFault = Optional.empty();
+  private ReachabilityReporter reporter;
+  private ReachabilityFailoverAdvisor advisor;
+  private Optional<LinkTable.DirectionState> stateLinkFault = Optional.empty();
   private long nowMicros;
   private long wallMicros;
   private long nextUpdateMicros;
-  private boolean begun;
+  private boolean started;
 
-  /** A monitor that has observed nothing yet; {@link #attach} completes it. */
+  /** Creates a monitor without observations; {@link #attach} completes it. */
   public ConnectivityMonitor(Settings settings, PartialCuts feature, Outbox outbox) {
     this.settings = settings;
     this.feature = feature;
@@ -50,8 +51,8 @@
   }
 
   /**
-   * Connects it with the shards that it advises on and the authority that it reports, both of which
-   * need the monitor itself to be constructed. Must come before the first tick.
+   * Sets the shards that the monitor advises on and the authority that it reports. Both are passed
+   * here because their construction needs the monitor. Must be called before the first tick.
    */
   public void attach(ShardView shardView, Authority shardAuthority) {
     shards = shardView;
@@ -59,7 +60,7 @@
     population = new ShardPopulation(shards, workers);
     offers = new FailoverOffers(settings.node(), shards, links, feature);
     reporter =
-        new ReachReporter(
+        new ReachabilityReporter(
             settings.node(),
             outbox,
             links,
@@ -68,15 +69,15 @@
             offers,
             feature.links().heartbeatMicros());
     advisor =
-        new ReachFailoverAdvisor(
-            settings, feature, shards, population, peers, reporter, offers, canary, this);
+        new ReachabilityFailoverAdvisor(
+            settings, feature, shards, population, peers, reporter, offers, canaryProbe, this);
   }
 
   @Override
   public void onHeartbeat(Arrival arrival) {
     workers.onHeartbeat(arrival);
-    if (arrival.owned() && canary.failedBy(arrival.shard(), arrival.host())) {
-      advisor.keepLonger(arrival.shard());
+    if (arrival.owned() && canaryProbe.onHeartbeat(arrival.shard(), arrival.host())) {
+      advisor.extendKeepTime(arrival.shard());
     }
   }
 
@@ -89,24 +90,30 @@
   public String redirect(Arrival arrival, boolean idle) {
     String home = shards.homeNode(arrival.shard());
     boolean awayFromHome = !settings.node().equals(home);
-    boolean selected = awayFromHome && canary.selectAsCanary(arrival.shard(), arrival.host(), idle);
+    boolean selected =
+        awayFromHome && canaryProbe.selectAsCanary(arrival.shard(), arrival.host(), idle);
     return selected ? home : null;
   }
 
-  /** Advances the time; both clocks in microseconds, the steady one and the time of day. */
-  public void tick(long now, long wall) {
-    nowMicros = now;
-    wallMicros = wall;
-    if (!begun) {
-      begun = true;
-      peers.begin(wall);
+  /**
+   * Advances the time.
+   *
+   * @param steadyMicros the steady clock
+   * @param timeOfDayMicros the time of day
+   */
+  public void tick(long steadyMicros, long timeOfDayMicros) {
+    nowMicros = steadyMicros;
+    wallMicros = timeOfDayMicros;
+    if (!started) {
+      started = true;
+      peers.begin(timeOfDayMicros);
     }
-    services.setTime(now);
-    workers.tick(now);
-    peers.tick(now);
-    advisor.setTime(now);
-    if (now >= nextUpdateMicros) {
-      nextUpdateMicros = now + UPDATE_INTERVAL_MICROS;
+    services.setTime(steadyMicros);
+    workers.tick(steadyMicros);
+    peers.tick(steadyMicros);
+    advisor.setTime(steadyMicros);
+    if (steadyMicros >= nextUpdateMicros) {
+      nextUpdateMicros = steadyMicros + UPDATE_INTERVAL_MICROS;
       update();
     }
   }
@@ -114,39 +121,39 @@
   private void update() {
     population.tick(nowMicros);
     links.update(nowMicros);
-    stateFault = links.unreachable(LinkId.STATE);
-    canary.tick(nowMicros).ifPresent(advisor::keepLonger);
+    stateLinkFault = links.unreachableDirection(LinkId.STATE);
+    canaryProbe.tick(nowMicros).ifPresent(advisor::extendKeepTime);
     for (int shard = 0; shard < shards.shardCount(); shard++) {
       authorityLog.observe(shard, authority, wallMicros);
     }
     boolean offersChanged =
-        feature.handover().enabled() && offers.tick(nowMicros, advisor::chooseTaker);
+        feature.handover().enabled() && offers.tick(nowMicros, advisor::chooseSuccessor);
     if (offersChanged || reporter.isDue(nowMicros)) {
       reporter.report(nowMicros);
     }
   }
 
-  /** A shard is owned now. */
+  /** Handles that this controller has become the owner of a shard. */
   public void onAcquired(int shard) {
     advisor.onAcquired(shard);
   }
 
-  /** A shard is not owned any more. */
+  /** Handles that this controller is no longer the owner of a shard. */
   public void onReleased(int shard) {
     workers.onReleased(shard);
-    canary.forget(shard);
+    canaryProbe.remove(shard);
     advisor.onReleased(shard);
   }
 
-  /** Takes in a record of another controller; messages of others than members are ignored. */
+  /** Handles a message of another controller; messages of non-members are ignored. */
   public void onPeerMessage(PeerMessage message) {
     if (message.reachability().isEmpty() || !isMember(message.from())) {
       return;
     }
     PeerReachability reachability = message.reachability().get();
-    if (peers.onReach(message.from(), reachability)
+    if (peers.onReachability(message.from(), reachability)
         && feature.handover().enabled()
-        && offers.onReach(message.from(), reachability)) {
+        && offers.onReachability(message.from(), reachability)) {
       reporter.report(nowMicros);
     }
   }
@@ -182,17 +189,17 @@
 
   @Override
   public boolean usable() {
-    return stateFault.isEmpty();
+    return stateLinkFault.isEmpty();
   }
 
   @Override
   public String fault() {
-    return stateFault.map(state -> StatusReport.describe(state, nowMicros)).orElse("");
+    return stateLinkFault.map(state -> StatusReport.describe(state, nowMicros)).orElse("");
   }
 
-  /** What operators are shown. */
+  /** Returns the status for operators. */
   public Map<String, Object> status() {
     return new StatusReport(settings, shards, authority, links, peers)
-        .build(offers.offers(), authorityLog.last(), nowMicros, wallMicros);
+        .build(offers.offers(), authorityLog.recentChanges(), nowMicros, wallMicros);
   }
 }
--- a/src/main/java/gladeknot/connectivity/ControlAction.java
+++ b/src/main/java/gladeknot/connectivity/ControlAction.java
@@ -1,42 +1,42 @@
 package gladeknot.connectivity;
 
-import static gladeknot.connectivity.Requirement.FRESH_COPY;
+import static gladeknot.connectivity.Requirement.CACHE_FRESH;
+import static gladeknot.connectivity.Requirement.CACHE_LOADED;
 import static gladeknot.connectivity.Requirement.LEASE;
-import static gladeknot.connectivity.Requirement.LOADED;
 import static gladeknot.connectivity.Requirement.SETTLED;
 import static gladeknot.connectivity.Requirement.STATE_LINK;
 
 /**
- * Everything that a controller may do for a shard, with what must hold for it: the one table of
- * authority. {@link Authority#permits} is the one place where it is looked up.
+ * The kinds of action that a controller takes for a shard, each with its requirements. This is the
+ * only table of authority; {@link Authority#permits} is the only place that reads it.
  *
- * <p>What keeps running tasks alive and what ends cancelled ones depends on leases alone; the state
- * of links only ever takes new actions away.
+ * <p>Actions that keep running tasks alive or end cancelled ones depend on leases alone. The state
+ * of links can only forbid new actions.
  */
 public enum ControlAction {
   /** Sending a committed start to a worker. */
-  SEND_RUN(LEASE, FRESH_COPY, STATE_LINK),
+  SEND_RUN(LEASE, CACHE_FRESH, STATE_LINK),
   /** Deciding starts and claims, and committing them. */
-  SCHEDULE(LEASE, SETTLED, LOADED, STATE_LINK),
-  /** Committing what has happened: ends, lost attempts, final states, segment migration. */
-  COMMIT(LEASE, SETTLED, LOADED),
+  SCHEDULE(LEASE, SETTLED, CACHE_LOADED, STATE_LINK),
+  /** Committing past events: ends, lost attempts, final phases, segment migration. */
+  COMMIT(LEASE, SETTLED, CACHE_LOADED),
   /** Stopping a task to preempt it or to drain a machine. */
   KILL(LEASE),
-  /** Stopping a task whose job is final: right whoever owns the shard. */
+  /** Stopping a task whose job is in a final phase: correct whichever node owns the shard. */
   KILL_CANCELLED(),
   /** Removing an ended task whose end is committed. */
   PURGE(LEASE),
   /** Answering a heartbeat, which renews the worker's lease. */
   RENEW_LEASE(LEASE),
   /** Scaling out, and registering machines. */
-  SCALE_OUT(LEASE, SETTLED, LOADED, STATE_LINK),
+  SCALE_OUT(LEASE, SETTLED, CACHE_LOADED, STATE_LINK),
   /** Scaling in, or transferring machines to another shard. */
-  SCALE_IN(LEASE, SETTLED, LOADED, STATE_LINK),
+  SCALE_IN(LEASE, SETTLED, CACHE_LOADED, STATE_LINK),
   /** Changing a team's quota. */
-  CHANGE_QUOTA(LEASE, SETTLED, LOADED, STATE_LINK),
-  /** Taking a shard, handing it over, or drawing a new term for it. */
+  CHANGE_QUOTA(LEASE, SETTLED, CACHE_LOADED, STATE_LINK),
+  /** Taking over a shard, handing it over, or assigning it a new term. */
   TRANSFER_SHARD(STATE_LINK),
-  /** Answers to users that are not final; final ones need nothing. */
+  /** Answers to users that are not final; final answers have no requirement. */
   ANSWER_USER(STATE_LINK);
 
   private final Requirement[] requirements;
@@ -45,7 +45,7 @@
     this.requirements = requirements;
   }
 
-  /** What must hold, in the order in which it is looked at; not to be changed. */
+  /** Returns the requirements in the order of evaluation; callers must not modify the array. */
   Requirement[] requirements() {
     return requirements;
   }
--- a/src/main/java/gladeknot/connectivity/Direction.java
+++ b/src/main/java/gladeknot/connectivity/Direction.java
@@ -1,16 +1,16 @@
 package gladeknot.connectivity;
 
-/** What can work or fail on a link, each on its own. */
+/** The parts of a link that can fail independently. */
 public enum Direction {
-  /** What this controller sends arrives. */
+  /** From this controller to the other side. */
   OUTBOUND,
-  /** What the other side sends arrives here. */
+  /** From the other side to this controller. */
   INBOUND,
-  /** What arrives at the other side is served and not refused. */
+  /** Processing at the other side: requests that arrive are served and not refused. */
   SERVICE;
 
-  /** The word for logs, answers and the operators' listener. */
-  public String word() {
+  /** Returns the text for logs, answers and the operators' listener. */
+  public String displayName() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 }
--- a/src/main/java/gladeknot/connectivity/DirectionHealth.java
+++ b/src/main/java/gladeknot/connectivity/DirectionHealth.java
@@ -1,20 +1,21 @@
 package gladeknot.connectivity;
 
 /**
- * What is known of one direction of a link: when something last surely got through, what is overdue
- * since, and the verdict that follows. Evidence is ordered by when it was sent, so that what comes
- * late can't speak for what was sent after it. It has no clock: times come in, a verdict comes out.
+ * The evidence on one direction of a link and the verdict drawn from it: when the last message that
+ * is proved to have got through was sent, and since when a message has been overdue. Evidence is
+ * ordered by the time at which the message was sent, so that late evidence never counts for
+ * messages sent after it. The class reads no clock: all times are passed in.
  */
 final class DirectionHealth {
-  /** How long something may be overdue before each verdict, and how long a probation lasts. */
+  /** The overdue times that lead to each verdict, and the duration of a probation. */
   record Limits(long suspectAfterMicros, long unreachableAfterMicros, long probationMicros) {}
 
-  private static final long NONE = Long.MIN_VALUE / 2;
+  private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
   private final Limits limits;
   private final FlapDamping damping;
-  private long provenMicros = NONE;
-  private long overdueMicros = NONE;
+  private long provenMicros = NEVER_MICROS;
+  private long overdueMicros = NEVER_MICROS;
   private Verdict verdict = Verdict.UNKNOWN;
   private long sinceMicros;
 
@@ -23,60 +24,61 @@
     this.damping = new FlapDamping(damping);
   }
 
-  /** Something sent at that time surely got through. */
-  void proven(long sentMicros) {
+  /** Records that a message sent at the given time is proved to have got through. */
+  void recordProven(long sentMicros) {
     provenMicros = Math.max(provenMicros, sentMicros);
     if (overdueMicros <= provenMicros) {
-      overdueMicros = NONE;
+      overdueMicros = NEVER_MICROS;
     }
   }
 
-  /** Something sent at that time has not been shown to get through, and should have been. */
-  void overdue(long sentMicros) {
-    if (sentMicros > provenMicros && (overdueMicros == NONE || sentMicros < overdueMicros)) {
+  /** Records that a message sent at the given time should have been proved by now and is not. */
+  void recordOverdue(long sentMicros) {
+    if (sentMicros > provenMicros
+        && (overdueMicros == NEVER_MICROS || sentMicros < overdueMicros)) {
       overdueMicros = sentMicros;
     }
   }
 
-  /** Draws the verdict; returns whether it has changed. */
+  /** Updates the verdict; returns whether it has changed. */
   boolean update(long nowMicros) {
-    Verdict next = next(nowMicros);
+    Verdict next = nextVerdict(nowMicros);
     if (next == verdict) {
       return false;
     }
     if (next == Verdict.UNREACHABLE) {
-      damping.changed(nowMicros);
+      damping.recordChange(nowMicros);
     }
     verdict = next;
     sinceMicros = nowMicros;
     return true;
   }
 
-  private Verdict next(long nowMicros) {
-    if (provenMicros == NONE && overdueMicros == NONE) {
+  private Verdict nextVerdict(long nowMicros) {
+    if (provenMicros == NEVER_MICROS && overdueMicros == NEVER_MICROS) {
       return Verdict.UNKNOWN;
     }
-    long overdueFor = overdueMicros == NONE ? 0 : nowMicros - overdueMicros;
-    boolean works = overdueMicros == NONE;
-    boolean late = overdueFor > limits.suspectAfterMicros();
-    boolean tooLate = overdueFor > limits.unreachableAfterMicros();
+    long overdueForMicros = overdueMicros == NEVER_MICROS ? 0 : nowMicros - overdueMicros;
+    boolean nothingOverdue = overdueMicros == NEVER_MICROS;
+    boolean suspect = overdueForMicros > limits.suspectAfterMicros();
+    boolean unreachable = overdueForMicros > limits.unreachableAfterMicros();
     return switch (verdict) {
       case UNKNOWN, REACHABLE, SUSPECT -> {
-        if (tooLate) {
+        if (unreachable) {
           yield Verdict.UNREACHABLE;
         }
-        if (late) {
+        if (suspect) {
           yield Verdict.SUSPECT;
         }
-        yield works ? Verdict.REACHABLE : verdict;
+        yield nothingOverdue ? Verdict.REACHABLE : verdict;
       }
-      case UNREACHABLE -> works ? Verdict.PROBATION : Verdict.UNREACHABLE;
+      case UNREACHABLE -> nothingOverdue ? Verdict.PROBATION : Verdict.UNREACHABLE;
       case PROBATION -> {
-        if (late) {
+        if (suspect) {
           yield Verdict.UNREACHABLE;
         }
-        boolean served = nowMicros - sinceMicros >= limits.probationMicros();
-        yield works && served && !damping.suppressed(nowMicros)
+        boolean probationOver = nowMicros - sinceMicros >= limits.probationMicros();
+        yield nothingOverdue && probationOver && !damping.suppressed(nowMicros)
             ? Verdict.REACHABLE
             : Verdict.PROBATION;
       }
@@ -87,12 +89,12 @@
     return verdict;
   }
 
-  /** Since when the verdict has been this one. */
+  /** Returns when the verdict last changed. */
   long sinceMicros() {
     return sinceMicros;
   }
 
-  /** When something that is known to have got through was sent; far in the past if nothing was. */
+  /** Returns when the last proved message was sent; far in the past if none is proved. */
   long provenMicros() {
     return provenMicros;
   }
--- a/src/main/java/gladeknot/connectivity/FailoverAdvisor.java
+++ b/src/main/java/gladeknot/connectivity/FailoverAdvisor.java
@@ -2,9 +2,11 @@
 
 import java.util.Optional;
 
-/** Advises which node should own a shard, by what the controllers reach. */
+/** Advises which node should own a shard, based on the reachability of the controllers. */
 public interface FailoverAdvisor {
-  /** Without knowledge of links: liveness and the home alone decide. */
+  /**
+   * Gives no advice, so that only liveness and the home decide; used when links are not observed.
+   */
   FailoverAdvisor NONE =
       new FailoverAdvisor() {
         @Override
@@ -33,25 +35,25 @@
         }
       };
 
-  /** The node that should own a shard whose workers this one doesn't reach, if one is better. */
+  /** Returns a better owner for a shard whose workers are unreachable from this node, if any. */
   Optional<String> preferredOwner(int shard);
 
-  /** Whether an owned shard may return to its home controller. */
+  /** Returns whether an owned shard may return to its home controller. */
   boolean mayReturnHome(int shard, String home);
 
   /**
-   * Whether the owner of a shard, in the incarnation that its key names, has relinquished it to
-   * this node: it does nothing more under the given term.
+   * Returns whether the owner of a shard, in the incarnation that the shard's key names, has
+   * relinquished the shard to this node. That owner takes no further action under the given term.
    */
   boolean relinquishedToThisNode(int shard, long incarnation, long term);
 
-  /** How much longer to wait before the failover of a shard whose owner's lease has expired. */
+  /** Returns the additional delay before the failover of a shard whose owner's lease expired. */
   long failoverDelayMicros(int shard);
 
   /**
-   * Whether a state lease whose renewals are not answered must not be renewed any more: where
-   * requests arrive and answers don't, it would hold for ever, and no other node could take this
-   * one's shards.
+   * Returns whether to stop renewing a state lease whose renewals get no answer. If requests arrive
+   * but answers are lost, renewals would keep the lease alive forever, and no other node could take
+   * over this node's shards.
    */
   boolean abandonsLease();
 }
--- a/src/main/java/gladeknot/connectivity/FailoverOffers.java
+++ b/src/main/java/gladeknot/connectivity/FailoverOffers.java
@@ -13,28 +13,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Voluntary failover: how a controller without the state service hands a shard to one that has it.
- * It offers the shard under every term that it may have, the other accepts, it relinquishes the
- * shard, and then alone the other takes it with a write that is conditional on the shard's key. An
- * owner continues as its leases allow until it relinquishes, so that an offer which nobody accepts
- * costs nothing; after that it does nothing more under any of these terms, whatever it receives.
+ * Voluntary failover: an owner that can't reach the state service hands a shard over to a
+ * controller that can. The owner offers the shard under every term that the shard may have, the
+ * other controller accepts, and the owner relinquishes the shard. Only then does the other
+ * controller take the shard over, with a write that is conditional on the shard's key.
+ *
+ * <p>Until it relinquishes the shard, the owner continues as its leases allow, so an offer that
+ * nobody accepts costs nothing. Afterwards it takes no action under any of the offered terms,
+ * whatever it receives.
  */
 final class FailoverOffers {
   private static final Logger LOG = LoggerFactory.getLogger(FailoverOffers.class);
 
-  /** An offer that is not accepted within so many heartbeat intervals is withdrawn. */
-  private static final int ACCEPT_INTERVALS = 3;
+  /** Number of heartbeat intervals after which an offer that is not accepted is withdrawn. */
+  private static final int ACCEPT_TIMEOUT_INTERVALS = 3;
 
-  /** A node that did not accept gets no further offer for so many heartbeat intervals. */
-  private static final int DECLINED_INTERVALS = 10;
+  /** Number of heartbeat intervals without an offer to a node that did not accept one. */
+  private static final int DECLINED_BACKOFF_INTERVALS = 10;
 
   /** Chooses the node to which a shard is offered. */
-  interface TakerSelector {
-    /** The best node that is not excluded, if there is one. */
+  interface SuccessorSelector {
+    /** Returns the best node that is not excluded, if there is one. */
     Optional<String> choose(int shard, List<String> excluded);
   }
 
-  /** What this controller has offered of one shard. */
+  /** An offer of a shard made by this controller. */
   private record Offer(
       long incarnation, long term, String to, long sinceMicros, boolean relinquished) {
     private Offer asRelinquished() {
@@ -42,7 +45,7 @@
     }
   }
 
-  /** What another controller has offered this one of one shard. */
+  /** An offer of a shard that this controller has received. */
   private record ReceivedOffer(long incarnation, long term, String from, boolean relinquished) {}
 
   /** A node that did not accept the offer of a shard. */
@@ -56,9 +59,9 @@
   private final long offerAfterMicros;
   private final Map<Integer, Long> stateFailingSince = new HashMap<>();
   private final Map<Integer, Offer> offers = new HashMap<>();
-  private final Map<Integer, ReceivedOffer> received = new HashMap<>();
+  private final Map<Integer, ReceivedOffer> receivedOffers = new HashMap<>();
   private final Map<Declined, Long> declinedUntil = new HashMap<>();
-  private final Map<Integer, Long> observedTerm = new HashMap<>();
+  private final Map<Integer, Long> observedTerms = new HashMap<>();
   private long nowMicros;
 
   FailoverOffers(String self, ShardView shards, LinkTable links, PartialCuts settings) {
@@ -70,9 +73,9 @@
     this.offerAfterMicros = settings.handover().offerAfterMicros();
   }
 
-  /** Makes, renews and withdraws offers; returns whether the peers must be notified at once. */
-  boolean tick(long now, TakerSelector selector) {
-    nowMicros = now;
+  /** Makes, renews and withdraws offers; returns whether to notify the peers immediately. */
+  boolean tick(long steadyMicros, SuccessorSelector selector) {
+    nowMicros = steadyMicros;
     boolean changed = false;
     for (int shard = 0; shard < shards.shardCount(); shard++) {
       observe(shard);
@@ -86,39 +89,39 @@
     return changed;
   }
 
-  /** Observes owner and term of a shard; a new term ends what was offered under the former. */
+  /** Observes the owner and term of a shard; a new term ends offers under the previous one. */
   private void observe(int shard) {
     long term = shards.term(shard);
     history.observe(shard, nowMicros);
-    Long before = observedTerm.put(shard, term);
-    if (before != null && before != term) {
+    Long previousTerm = observedTerms.put(shard, term);
+    if (previousTerm != null && previousTerm != term) {
       offers.remove(shard);
-      received.remove(shard);
+      receivedOffers.remove(shard);
     }
   }
 
-  /** Counts one more failure of a shard's home; returns how many there were before in a row. */
+  /** Counts a failure of a shard's home; returns the number of consecutive earlier failures. */
   int countHomeFailure(int shard) {
     return history.countHomeFailure(shard);
   }
 
-  /** Who owned a shard before its present owner; null if that is not known. */
+  /** Returns the owner of a shard before its current one; null if unknown. */
   String previousOwner(int shard) {
     observe(shard);
     return history.previousOwner(shard);
   }
 
-  /** Whether a shard has changed hands too often recently to do so again. */
+  /** Returns whether a shard's owner changed too often recently for another transfer. */
   boolean suppressed(int shard) {
     return history.suppressed(shard, nowMicros);
   }
 
-  private boolean updateOffer(int shard, TakerSelector selector) {
+  private boolean updateOffer(int shard, SuccessorSelector selector) {
     Offer offer = offers.get(shard);
     if (offer != null && offer.relinquished()) {
       return false;
     }
-    if (links.unreachable(LinkId.STATE).isEmpty()) {
+    if (links.unreachableDirection(LinkId.STATE).isEmpty()) {
       stateFailingSince.remove(shard);
       return offers.remove(shard) != null;
     }
@@ -127,7 +130,7 @@
       return false;
     }
     if (offer != null) {
-      if (nowMicros - offer.sinceMicros() < ACCEPT_INTERVALS * heartbeatMicros) {
+      if (nowMicros - offer.sinceMicros() < ACCEPT_TIMEOUT_INTERVALS * heartbeatMicros) {
         return false;
       }
       decline(shard, offer.to());
@@ -135,36 +138,37 @@
     return makeOffer(shard, selector);
   }
 
-  /** An offer was not accepted in time. */
+  /** Withdraws an offer that a node has not accepted in time. */
   private void decline(int shard, String node) {
-    declinedUntil.put(new Declined(shard, node), nowMicros + DECLINED_INTERVALS * heartbeatMicros);
+    declinedUntil.put(
+        new Declined(shard, node), nowMicros + DECLINED_BACKOFF_INTERVALS * heartbeatMicros);
     offers.remove(shard);
   }
 
-  private boolean makeOffer(int shard, TakerSelector selector) {
+  private boolean makeOffer(int shard, SuccessorSelector selector) {
     declinedUntil.values().removeIf(until -> until <= nowMicros);
     List<String> excluded =
         declinedUntil.keySet().stream()
             .filter(declined -> declined.shard() == shard)
             .map(Declined::node)
             .toList();
-    Optional<String> taker = selector.choose(shard, excluded);
-    if (taker.isEmpty()) {
+    Optional<String> successor = selector.choose(shard, excluded);
+    if (successor.isEmpty()) {
       return false;
     }
     long incarnation = shards.incarnation(shard);
     long term = shards.highestTerm(shard);
-    offers.put(shard, new Offer(incarnation, term, taker.get(), nowMicros, false));
+    offers.put(shard, new Offer(incarnation, term, successor.get(), nowMicros, false));
     return true;
   }
 
-  /** Takes in a peer's record; returns whether the peers must be notified at once. */
-  boolean onReach(String from, PeerReachability reachability) {
+  /** Handles a peer's record; returns whether to notify the peers immediately. */
+  boolean onReachability(String from, PeerReachability reachability) {
     boolean changed = false;
-    received.values().removeIf(offer -> offer.from().equals(from));
+    receivedOffers.values().removeIf(offer -> offer.from().equals(from));
     for (ShardOffer offer : reachability.offers()) {
-      if (offer.to().equals(self) && mayTake(from, offer)) {
-        received.put(
+      if (offer.to().equals(self) && mayAccept(from, offer)) {
+        receivedOffers.put(
             offer.shard(),
             new ReceivedOffer(offer.incarnation(), offer.term(), from, offer.relinquished()));
         changed |= !offer.relinquished();
@@ -176,7 +180,7 @@
     return changed;
   }
 
-  private boolean mayTake(String from, ShardOffer offer) {
+  private boolean mayAccept(String from, ShardOffer offer) {
     int shard = offer.shard();
     return shard < shards.shardCount()
         && from.equals(shards.owner(shard).orElse(null))
@@ -185,7 +189,7 @@
         && (offer.relinquished() || (links.steady(LinkId.STATE) && !suppressed(shard)));
   }
 
-  /** Relinquishes a shard whose offer is accepted; returns whether that was so. */
+  /** Relinquishes a shard if the acceptance of its offer is valid; returns whether it was. */
   private boolean onAccept(String from, ShardAccept accept) {
     int shard = accept.shard();
     Offer offer = offers.get(shard);
@@ -205,16 +209,19 @@
     return true;
   }
 
-  /** Whether a shard's owner has relinquished it to this node under a term, or a later one. */
+  /**
+   * Returns whether a shard's owner has relinquished it to this node under the given term or a
+   * later one.
+   */
   boolean relinquishedToThisNode(int shard, long incarnation, long term) {
-    ReceivedOffer offer = received.get(shard);
+    ReceivedOffer offer = receivedOffers.get(shard);
     return offer != null
         && offer.relinquished()
         && offer.incarnation() == incarnation
         && term <= offer.term();
   }
 
-  /** What this controller offers, for its next record. */
+  /** Returns this controller's offers, for its next record. */
   List<ShardOffer> offers() {
     List<ShardOffer> entries = new ArrayList<>();
     offers.forEach(
@@ -225,10 +232,10 @@
     return entries.subList(0, Math.min(entries.size(), PeerReachability.MAX_ENTRIES));
   }
 
-  /** What this controller accepts, for its next record. */
+  /** Returns the offers that this controller accepts, for its next record. */
   List<ShardAccept> accepts() {
     List<ShardAccept> entries = new ArrayList<>();
-    received.forEach(
+    receivedOffers.forEach(
         (shard, offer) -> entries.add(new ShardAccept(shard, offer.term(), offer.from())));
     return entries.subList(0, Math.min(entries.size(), PeerReachability.MAX_ENTRIES));
   }
--- a/src/main/java/gladeknot/connectivity/HeartbeatObserver.java
+++ b/src/main/java/gladeknot/connectivity/HeartbeatObserver.java
@@ -1,6 +1,6 @@
 package gladeknot.connectivity;
 
-/** Is notified of the workers' heartbeats and of the responses to them. */
+/** Observes the workers' heartbeats and the responses to them. */
 public interface HeartbeatObserver {
   /** Observes nothing. */
   HeartbeatObserver NONE =
@@ -17,19 +17,20 @@
         }
       };
 
-  /** A heartbeat that arrived; {@code owned} if this controller acts for the worker's shard. */
+  /** A received heartbeat; {@code owned} if this controller owns the worker's shard. */
   record Arrival(
       String host, String zone, int shard, boolean owned, long incarnation, long sequence) {}
 
-  /** A heartbeat has arrived that is newer than those before it. */
+  /** Handles a heartbeat that is newer than all earlier ones of its worker. */
   void onHeartbeat(Arrival arrival);
 
-  /** The heartbeat of a worker of an owned shard is answered with 200. */
+  /** Handles that a heartbeat of a worker of an owned shard is answered with 200. */
   void onAnswered(String host);
 
   /**
-   * The controller to which a worker of an owned shard is redirected as a canary, to see whether it
-   * gets through there; null, as for nearly every heartbeat, if it is answered here.
+   * Returns the controller to which a worker of an owned shard is redirected as a canary, to test
+   * whether the worker can reach that controller. Returns null if the heartbeat is answered here,
+   * as nearly all are.
    */
   String redirect(Arrival arrival, boolean idle);
 }
--- a/src/main/java/gladeknot/connectivity/LinkId.java
+++ b/src/main/java/gladeknot/connectivity/LinkId.java
@@ -2,9 +2,9 @@
 
 import java.util.Locale;
 
-/** One link of this controller; the name is a member's or a zone's, and empty for services. */
+/** A link of this controller; the name is that of a member or zone, and empty for services. */
 public record LinkId(Kind kind, String name) {
-  /** What is at the other end. */
+  /** The kind of the other end. */
   public enum Kind {
     /** The state service. */
     STATE,
@@ -12,7 +12,7 @@
     CLOUD,
     /** Another controller. */
     PEER,
-    /** The workers of the owned shards, as a population by zone. */
+    /** The workers of the owned shards in one zone, as a group. */
     WORKERS
   }
 
@@ -22,19 +22,19 @@
   /** The link to the cloud. */
   public static final LinkId CLOUD = new LinkId(Kind.CLOUD, "");
 
-  /** The link to another controller. */
+  /** Returns the link to another controller. */
   public static LinkId peer(String node) {
     return new LinkId(Kind.PEER, node);
   }
 
-  /** The link to the workers of a zone. */
+  /** Returns the link to the workers of a zone. */
   public static LinkId workers(String zone) {
     return new LinkId(Kind.WORKERS, zone);
   }
 
   @Override
   public String toString() {
-    String word = kind.name().toLowerCase(Locale.ROOT);
-    return name.isEmpty() ? word : word + "/" + name;
+    String kindName = kind.name().toLowerCase(Locale.ROOT);
+    return name.isEmpty() ? kindName : kindName + "/" + name;
   }
 }
--- a/src/main/java/gladeknot/connectivity/LinkTable.java
+++ b/src/main/java/gladeknot/connectivity/LinkTable.java
@@ -10,11 +10,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** All links of this controller, with the health of each direction. */
+/** The links of this controller with the health of each direction. */
 final class LinkTable {
   private static final Logger LOG = LoggerFactory.getLogger(LinkTable.class);
 
-  /** So many links are followed; of further ones nothing is kept. */
+  /** Maximum number of links in the table; evidence on further links is discarded. */
   private static final int MAX_LINKS = 4096;
 
   /** The state of one direction of one link. */
@@ -40,7 +40,7 @@
             settings.damping().mostSuppressedMicros());
   }
 
-  /** The health of a direction; an entry is made for a new link. */
+  /** Returns the health of a direction, with a new entry for a link that has none. */
   DirectionHealth health(LinkId link, Direction direction) {
     Map<Direction, DirectionHealth> directions = links.get(link);
     if (directions == null) {
@@ -53,12 +53,12 @@
     return directions.computeIfAbsent(direction, d -> new DirectionHealth(limits, damping));
   }
 
-  /** Drops what is known of a link. */
-  void forget(LinkId link) {
+  /** Removes a link and the evidence on it. */
+  void remove(LinkId link) {
     links.remove(link);
   }
 
-  /** A limiter of changes by the same limits that links have. */
+  /** Creates a flap damping with the same limits as the links have. */
   FlapDamping newDamping() {
     return new FlapDamping(damping);
   }
@@ -69,20 +69,20 @@
         (link, directions) ->
             directions.forEach(
                 (direction, health) -> {
-                  Verdict before = health.verdict();
+                  Verdict previous = health.verdict();
                   if (health.update(nowMicros)) {
                     LOG.debug(
                         "link verdict changed link={} direction={} from={} to={}",
                         link,
                         direction,
-                        before,
+                        previous,
                         health.verdict());
                   }
                 }));
   }
 
-  /** The first direction of a link that is unreachable, if there is one. */
-  Optional<DirectionState> unreachable(LinkId link) {
+  /** Returns the first unreachable direction of a link, if there is one. */
+  Optional<DirectionState> unreachableDirection(LinkId link) {
     Map<Direction, DirectionHealth> directions = links.getOrDefault(link, Map.of());
     for (Map.Entry<Direction, DirectionHealth> entry : directions.entrySet()) {
       if (!entry.getValue().verdict().usable()) {
@@ -92,20 +92,20 @@
     return Optional.empty();
   }
 
-  /** Whether every known direction of a link is steady. */
+  /** Returns whether a link has known directions and all of them are steady. */
   boolean steady(LinkId link) {
     Map<Direction, DirectionHealth> directions = links.getOrDefault(link, Map.of());
     return !directions.isEmpty()
-        && directions.values().stream().allMatch(h -> h.verdict().steady());
+        && directions.values().stream().allMatch(health -> health.verdict().steady());
   }
 
-  /** All directions of all links. */
-  List<DirectionState> all() {
-    List<DirectionState> all = new ArrayList<>();
+  /** Returns the state of every direction of every link. */
+  List<DirectionState> directionStates() {
+    List<DirectionState> states = new ArrayList<>();
     links.forEach(
         (link, directions) ->
-            directions.forEach((direction, health) -> all.add(state(link, direction, health))));
-    return all;
+            directions.forEach((direction, health) -> states.add(state(link, direction, health))));
+    return states;
   }
 
   private static DirectionState state(LinkId link, Direction direction, DirectionHealth health) {
--- a/src/main/java/gladeknot/connectivity/OwnerHistory.java
+++ b/src/main/java/gladeknot/connectivity/OwnerHistory.java
@@ -4,10 +4,13 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** How the shards' owners have changed, and whether a shard changes hands too often. */
+/** The history of the shards' owners, and the flap damping of ownership transfers. */
 final class OwnerHistory {
-  /** A home that has kept its shard for so many times the keeping time is trusted again. */
-  private static final int RELIABLE_KEEPS = 8;
+  /**
+   * Number of keep periods after which the failures of a home that has kept its shard for so long
+   * are reset.
+   */
+  private static final int RELIABLE_KEEP_PERIODS = 8;
 
   private final ShardView shards;
   private final LinkTable links;
@@ -25,9 +28,9 @@
   }
 
   /**
-   * Observes a shard's present owner. Only a change of owner counts for the damping, not one of
-   * terms: an owner whose transactions get no answer draws new terms, and would keep its shard from
-   * being taken just when it is cut off.
+   * Observes a shard's current owner. Only a change of owner counts for the damping, not a change
+   * of term. An owner whose transactions get no answer draws new terms; counting those would block
+   * the failover of its shard exactly when the owner is partitioned.
    */
   void observe(int shard, long nowMicros) {
     String owner = shards.owner(shard).orElse(null);
@@ -38,36 +41,36 @@
     previousOwner.put(shard, previous);
     observeHome(shard, owner, previous, nowMicros);
     if (previous != null) {
-      damping(shard).changed(nowMicros);
+      damping(shard).recordChange(nowMicros);
     }
   }
 
-  /** A shard that leaves its home after a long stay there starts with no failures of its home. */
+  /** Resets the failure count of a shard's home when the shard leaves it after a long stay. */
   private void observeHome(int shard, String owner, String previous, long nowMicros) {
     String home = shards.homeNode(shard);
     if (home.equals(owner)) {
       homeSinceMicros.put(shard, nowMicros);
     } else if (home.equals(previous)) {
-      long stayed = nowMicros - homeSinceMicros.getOrDefault(shard, 0L);
-      if (stayed > RELIABLE_KEEPS * keepMicros) {
+      long stayMicros = nowMicros - homeSinceMicros.getOrDefault(shard, 0L);
+      if (stayMicros > RELIABLE_KEEP_PERIODS * keepMicros) {
         homeFailures.remove(shard);
       }
     }
   }
 
-  /** Who owned a shard before its present owner; null if that is not known. */
+  /** Returns the owner of a shard before its current one; null if unknown. */
   String previousOwner(int shard) {
     return previousOwner.get(shard);
   }
 
-  /** Counts one more failure of a shard's home; returns how many there were before in a row. */
+  /** Counts a failure of a shard's home; returns the number of consecutive earlier failures. */
   int countHomeFailure(int shard) {
-    int before = homeFailures.getOrDefault(shard, 0);
-    homeFailures.put(shard, before + 1);
-    return before;
+    int earlierFailures = homeFailures.getOrDefault(shard, 0);
+    homeFailures.put(shard, earlierFailures + 1);
+    return earlierFailures;
   }
 
-  /** Whether a shard has changed hands too often recently to do so again. */
+  /** Returns whether a shard's owner changed too often recently for another transfer. */
   boolean suppressed(int shard, long nowMicros) {
     return damping(shard).suppressed(nowMicros);
   }
--- a/src/main/java/gladeknot/connectivity/OwnerSelector.java
+++ b/src/main/java/gladeknot/connectivity/OwnerSelector.java
@@ -5,15 +5,18 @@
 import java.util.Optional;
 
 /**
- * Chooses among the controllers that could own a shard: those that have reached the state service
- * steadily, the one that reaches more of the shard's workers first, then the shard's home, then the
- * next in the ring after it. Who sees the same records chooses the same.
+ * Selects the owner of a shard among the controllers that steadily reach the state service. Prefers
+ * the controller that reaches more of the shard's workers, then the shard's home, then the next
+ * controller in the ring after the home. Controllers with the same records make the same choice.
  */
 final class OwnerSelector {
-  /** Smaller differences in reach than this don't decide. */
+  /**
+   * Step in which the percentages of reachable workers are compared; differences within a step are
+   * ignored.
+   */
   private static final int STEP_PERCENT = 25;
 
-  /** A controller that could own a shard; {@code distance} counts from the shard's home. */
+  /** A controller that could own a shard; {@code distance} is its ring distance from the home. */
   record Candidate(String node, boolean stateSteady, int workerPercent, int distance) {
     private int steps() {
       return workerPercent / STEP_PERCENT;
@@ -22,19 +25,19 @@
 
   private OwnerSelector() {}
 
-  /** The best that reaches at least as many workers as given; empty if there is none. */
-  static Optional<Candidate> best(List<Candidate> candidates, int leastPercent) {
+  /** Returns the best candidate that reaches at least the given percentage of workers, if any. */
+  static Optional<Candidate> best(List<Candidate> candidates, int minPercent) {
     return candidates.stream()
         .filter(Candidate::stateSteady)
-        .filter(c -> c.workerPercent() >= Math.max(STEP_PERCENT, leastPercent))
+        .filter(candidate -> candidate.workerPercent() >= Math.max(STEP_PERCENT, minPercent))
         .min(
-            Comparator.comparingInt((Candidate c) -> -c.steps())
+            Comparator.comparingInt((Candidate candidate) -> -candidate.steps())
                 .thenComparingInt(Candidate::distance)
                 .thenComparing(Candidate::node));
   }
 
-  /** The best that reaches clearly more workers than the present owner. */
-  static Optional<Candidate> better(List<Candidate> candidates, int ownerPercent) {
+  /** Returns the best candidate that reaches clearly more workers than the current owner. */
+  static Optional<Candidate> betterThan(List<Candidate> candidates, int ownerPercent) {
     return best(candidates, ownerPercent + STEP_PERCENT);
   }
 }
--- a/src/main/java/gladeknot/connectivity/PeerLinkObserver.java
+++ b/src/main/java/gladeknot/connectivity/PeerLinkObserver.java
@@ -11,31 +11,31 @@
 
 /**
  * Derives evidence on the links to the other controllers. A record that arrives proves the inbound
- * direction. The newest of this controller's records that a peer reports to have received proves
- * the outbound direction, also when a third controller relays the report, so that a link that fails
- * one way is distinguished from one that fails both ways.
+ * direction. A peer's report of the newest record that it has received from this controller proves
+ * the outbound direction, even if a third controller relays the report. This distinguishes a link
+ * that fails in one direction from a link that fails in both.
  */
 final class PeerLinkObserver {
-  /** Own records whose time of sending is remembered. */
-  private static final int REMEMBERED = 128;
+  /** Number of this controller's latest records whose send times are kept. */
+  private static final int MAX_KEPT_SEND_TIMES = 128;
 
-  /** A record is overdue after so many intervals. */
-  private static final double OVERDUE_INTERVALS = 2.5;
+  /** Number of heartbeat intervals after which a record is overdue. */
+  private static final double OVERDUE_AFTER_INTERVALS = 2.5;
 
-  /** What is known of one other controller. */
+  /** The observations of another controller. */
   private static final class Peer {
     private PeerReachability reachability;
     private long receivedMicros;
 
-    /** The newest of this controller's records that it has received, by any report. */
-    private long echoedSequence;
+    /** The newest record of this controller that the peer has received, by any report. */
+    private long lastEchoedSequence;
   }
 
   private final String self;
   private final long heartbeatMicros;
   private final LinkTable links;
   private final Map<String, Peer> peers = new TreeMap<>();
-  private final long[] sentMicros = new long[REMEMBERED];
+  private final long[] sentMicros = new long[MAX_KEPT_SEND_TIMES];
   private long processStartMicros;
   private long sequence;
   private long nowMicros;
@@ -46,110 +46,118 @@
     this.links = links;
   }
 
-  /** Identifies this life of the process by the time of day at which it began. */
+  /** Identifies this process by the time of day at which it started. */
   void begin(long wallMicros) {
     processStartMicros = wallMicros;
   }
 
-  /** This life of the process, as {@link #begin} named it. */
+  /** Returns the time of day at which this process started, as passed to {@link #begin}. */
   long processStartMicros() {
     return processStartMicros;
   }
 
-  /** Numbers the record that is sent now. */
+  /** Returns the number of the record to send now and stores its send time. */
   long nextSequence() {
     sequence++;
-    sentMicros[(int) (sequence % REMEMBERED)] = nowMicros;
+    sentMicros[(int) (sequence % MAX_KEPT_SEND_TIMES)] = nowMicros;
     return sequence;
   }
 
-  /** Which records have been received, here and by the peers' reports, for the next record. */
+  /**
+   * Returns the newest records received here and, by their own reports, by the peers. They go into
+   * this controller's next record.
+   */
   List<Observation> observations() {
-    List<Observation> rows = new ArrayList<>();
+    List<Observation> observations = new ArrayList<>();
     peers.forEach(
         (node, peer) ->
-            rows.add(
+            observations.add(
                 new Observation(
                     self,
                     node,
                     peer.reachability.processStartMicros(),
                     peer.reachability.sequence())));
     for (Map.Entry<String, Peer> entry : peers.entrySet()) {
-      if (fresh(entry.getValue())) {
-        for (Observation row : entry.getValue().reachability.observations()) {
-          boolean own = row.observer().equals(entry.getKey());
-          if (own && rows.size() < PeerReachability.MAX_ENTRIES) {
-            rows.add(row);
+      if (isFresh(entry.getValue())) {
+        for (Observation observation : entry.getValue().reachability.observations()) {
+          boolean own = observation.observer().equals(entry.getKey());
+          if (own && observations.size() < PeerReachability.MAX_ENTRIES) {
+            observations.add(observation);
           }
         }
       }
     }
-    return rows.subList(0, Math.min(rows.size(), PeerReachability.MAX_ENTRIES));
+    return observations.subList(0, Math.min(observations.size(), PeerReachability.MAX_ENTRIES));
   }
 
-  /** Takes in a peer's record; returns whether it is newer than those before it. */
-  boolean onReach(String from, PeerReachability reachability) {
-    Peer peer = peers.computeIfAbsent(from, f -> new Peer());
+  /** Handles a peer's record; returns whether it is newer than all earlier ones. */
+  boolean onReachability(String from, PeerReachability reachability) {
+    Peer peer = peers.computeIfAbsent(from, node -> new Peer());
     PeerReachability last = peer.reachability;
-    if (last != null && !newer(peer, reachability)) {
+    if (last != null && !isNewer(peer, reachability)) {
       return false;
     }
     peer.reachability = reachability;
     peer.receivedMicros = nowMicros;
-    links.health(LinkId.peer(from), Direction.INBOUND).proven(nowMicros);
-    for (Observation row : reachability.observations()) {
-      Peer observer = peers.get(row.observer());
-      boolean ofThisNode =
-          row.subject().equals(self) && row.processStartMicros() == processStartMicros;
-      if (ofThisNode && observer != null) {
-        echoed(row.observer(), observer, row.sequence());
+    links.health(LinkId.peer(from), Direction.INBOUND).recordProven(nowMicros);
+    for (Observation observation : reachability.observations()) {
+      Peer observer = peers.get(observation.observer());
+      boolean ofThisProcess =
+          observation.subject().equals(self)
+              && observation.processStartMicros() == processStartMicros;
+      if (ofThisProcess && observer != null) {
+        recordEcho(observation.observer(), observer, observation.sequence());
       }
     }
     return true;
   }
 
-  /** A new life is newer, even with a clock that was set back while no records arrived. */
-  private boolean newer(Peer peer, PeerReachability reachability) {
+  /**
+   * Returns whether a record is newer than the last one of its peer. A record of a restarted
+   * process is newer even if the peer's clock was set back, provided that the last record is
+   * overdue.
+   */
+  private boolean isNewer(Peer peer, PeerReachability reachability) {
     if (reachability.processStartMicros() == peer.reachability.processStartMicros()) {
       return reachability.sequence() > peer.reachability.sequence();
     }
     return reachability.processStartMicros() > peer.reachability.processStartMicros()
-        || !fresh(peer);
+        || !isFresh(peer);
   }
 
-  private void echoed(String node, Peer peer, long heardSequence) {
-    if (heardSequence > peer.echoedSequence && heardSequence <= sequence) {
-      peer.echoedSequence = heardSequence;
-      if (sequence - heardSequence < REMEMBERED) {
-        long sent = sentMicros[(int) (heardSequence % REMEMBERED)];
-        links.health(LinkId.peer(node), Direction.OUTBOUND).proven(sent);
+  private void recordEcho(String node, Peer peer, long echoedSequence) {
+    if (echoedSequence > peer.lastEchoedSequence && echoedSequence <= sequence) {
+      peer.lastEchoedSequence = echoedSequence;
+      if (sequence - echoedSequence < MAX_KEPT_SEND_TIMES) {
+        long sentAtMicros = sentMicros[(int) (echoedSequence % MAX_KEPT_SEND_TIMES)];
+        links.health(LinkId.peer(node), Direction.OUTBOUND).recordProven(sentAtMicros);
       }
     }
   }
 
-  /** Advances the time and finds what is overdue. */
-  void tick(long now) {
-    nowMicros = now;
-    long overdueAfter = (long) (heartbeatMicros * OVERDUE_INTERVALS);
+  /** Advances the time and records overdue messages as evidence. */
+  void tick(long steadyMicros) {
+    nowMicros = steadyMicros;
+    long overdueAfterMicros = (long) (heartbeatMicros * OVERDUE_AFTER_INTERVALS);
     peers.forEach(
         (node, peer) -> {
-          if (now - peer.receivedMicros > overdueAfter) {
+          if (steadyMicros - peer.receivedMicros > overdueAfterMicros) {
             links
                 .health(LinkId.peer(node), Direction.INBOUND)
-                .overdue(peer.receivedMicros + heartbeatMicros);
+                .recordOverdue(peer.receivedMicros + heartbeatMicros);
           }
-          long next = peer.echoedSequence + 1;
-          boolean remembered = next <= sequence && sequence - next < REMEMBERED;
-          long sent = sentMicros[(int) (next % REMEMBERED)];
-          // Without any report of that peer nothing is known of this direction.
-          if (remembered && witnessed(node, sent + overdueAfter)) {
-            links.health(LinkId.peer(node), Direction.OUTBOUND).overdue(sent);
+          long next = peer.lastEchoedSequence + 1;
+          boolean sendTimeKept = next <= sequence && sequence - next < MAX_KEPT_SEND_TIMES;
+          long sentAtMicros = sentMicros[(int) (next % MAX_KEPT_SEND_TIMES)];
+          // Without a later report of the peer there is no evidence on this direction.
+          if (sendTimeKept && hasReportSince(node, sentAtMicros + overdueAfterMicros)) {
+            links.health(LinkId.peer(node), Direction.OUTBOUND).recordOverdue(sentAtMicros);
           }
         });
   }
 
-  /** Whether a report of a controller has arrived since some moment, directly or relayed. */
-  private boolean witnessed(String node, long sinceMicros) {
+  /** Returns whether a controller's report arrived since the given time, directly or relayed. */
+  private boolean hasReportSince(String node, long sinceMicros) {
     if (nowMicros < sinceMicros) {
       return false;
     }
@@ -157,24 +165,24 @@
       return true;
     }
     return peers.entrySet().stream()
-        .filter(e -> e.getValue().receivedMicros >= sinceMicros)
-        .flatMap(e -> e.getValue().reachability.observations().stream())
-        .anyMatch(row -> row.observer().equals(node));
+        .filter(entry -> entry.getValue().receivedMicros >= sinceMicros)
+        .flatMap(entry -> entry.getValue().reachability.observations().stream())
+        .anyMatch(observation -> observation.observer().equals(node));
   }
 
-  private boolean fresh(Peer peer) {
-    return nowMicros - peer.receivedMicros <= heartbeatMicros * OVERDUE_INTERVALS;
+  private boolean isFresh(Peer peer) {
+    return nowMicros - peer.receivedMicros <= heartbeatMicros * OVERDUE_AFTER_INTERVALS;
   }
 
-  /** How long ago the newest record of a controller arrived, if one ever did. */
+  /** Returns the time since the newest record of a controller arrived, if any has. */
   OptionalLong sinceLastRecordMicros(String node) {
     Peer peer = peers.get(node);
     return peer == null ? OptionalLong.empty() : OptionalLong.of(nowMicros - peer.receivedMicros);
   }
 
-  /** The newest record of a controller, unless it is overdue. */
-  Optional<PeerReachability> freshReach(String node) {
+  /** Returns the newest record of a controller, unless its next record is overdue. */
+  Optional<PeerReachability> freshReachability(String node) {
     Peer peer = peers.get(node);
-    return peer != null && fresh(peer) ? Optional.of(peer.reachability) : Optional.empty();
+    return peer != null && isFresh(peer) ? Optional.of(peer.reachability) : Optional.empty();
   }
 }
--- a/src/main/java/gladeknot/connectivity/ReachFailoverAdvisor.java
+++ b/src/main/java/gladeknot/connectivity/ReachabilityFailoverAdvisor.java
@@ -10,34 +10,34 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Advises on failover by what this controller and the others report to reach. */
-final class ReachFailoverAdvisor implements FailoverAdvisor {
-  /** A shard whose home fails again and again is kept twice as long each time, so often. */
-  private static final int MAX_DOUBLINGS = 3;
+/** Advises on failover, based on the reachability that this and the other controllers report. */
+final class ReachabilityFailoverAdvisor implements FailoverAdvisor {
+  /** Maximum number of doublings of the keep time of a shard whose home fails repeatedly. */
+  private static final int MAX_KEEP_DOUBLINGS = 3;
 
-  /** Nodes that don't reach a shard's workers let others try for so many heartbeat intervals. */
-  private static final int DELAY_INTERVALS = 2;
+  /** Failover delay of nodes that don't reach a shard's workers, in heartbeat intervals. */
+  private static final int FAILOVER_DELAY_INTERVALS = 2;
 
   private final Settings settings;
   private final PartialCuts feature;
   private final ShardView shards;
   private final ShardPopulation population;
   private final PeerLinkObserver peers;
-  private final ReachReporter reporter;
+  private final ReachabilityReporter reporter;
   private final FailoverOffers offers;
   private final CanaryProbe canary;
   private final Authority.StateLink stateLink;
   private final Map<Integer, Long> keepUntilMicros = new HashMap<>();
-  private final Map<Integer, Long> unreachedSinceMicros = new HashMap<>();
+  private final Map<Integer, Long> unreachableSinceMicros = new HashMap<>();
   private long nowMicros;
 
-  ReachFailoverAdvisor(
+  ReachabilityFailoverAdvisor(
       Settings settings,
       PartialCuts feature,
       ShardView shards,
       ShardPopulation population,
       PeerLinkObserver peers,
-      ReachReporter reporter,
+      ReachabilityReporter reporter,
       FailoverOffers offers,
       CanaryProbe canary,
       Authority.StateLink stateLink) {
@@ -52,53 +52,58 @@
     this.stateLink = stateLink;
   }
 
-  void setTime(long now) {
-    nowMicros = now;
+  void setTime(long steadyMicros) {
+    nowMicros = steadyMicros;
   }
 
-  /** A shard is owned now; if a live owner handed it over, it is kept from its home for a while. */
+  /**
+   * Handles that this controller has become the owner of a shard. If the previous owner is alive
+   * and this controller is not the shard's home, the shard is not returned home before the keep
+   * time has passed.
+   */
   void onAcquired(int shard) {
-    String from = offers.previousOwner(shard);
-    boolean handedOver = from != null && peers.freshReach(from).isPresent();
+    String previousOwner = offers.previousOwner(shard);
+    boolean handedOver =
+        previousOwner != null && peers.freshReachability(previousOwner).isPresent();
     keepUntilMicros.remove(shard);
     if (handedOver && !settings.node().equals(shards.homeNode(shard))) {
-      keepLonger(shard);
+      extendKeepTime(shard);
     }
   }
 
-  /** Keeps a shard from its home for a while, twice as long each time in a row. */
-  void keepLonger(int shard) {
-    int doublings = Math.min(MAX_DOUBLINGS, offers.countHomeFailure(shard));
+  /** Delays the return of a shard to its home; the delay doubles with each consecutive failure. */
+  void extendKeepTime(int shard) {
+    int doublings = Math.min(MAX_KEEP_DOUBLINGS, offers.countHomeFailure(shard));
     keepUntilMicros.put(shard, nowMicros + (feature.handover().keepMicros() << doublings));
   }
 
-  /** A shard is not owned any more. */
+  /** Handles that this controller is no longer the owner of a shard. */
   void onReleased(int shard) {
-    unreachedSinceMicros.remove(shard);
+    unreachableSinceMicros.remove(shard);
   }
 
-  /** The node to which a shard should be offered, if there is one. */
-  Optional<String> chooseTaker(int shard, List<String> excluded) {
+  /** Returns the node to which a shard should be offered, if there is one. */
+  Optional<String> chooseSuccessor(int shard, List<String> excluded) {
     List<Candidate> candidates = candidates(shard, population.workersByZone(shard));
     candidates.removeIf(candidate -> excluded.contains(candidate.node()));
     return OwnerSelector.best(candidates, 0).map(Candidate::node);
   }
 
   private List<Candidate> candidates(int shard, Map<String, Integer> workersByZone) {
-    List<String> ring = settings.nodes();
-    int home = ring.indexOf(shards.homeNode(shard));
+    List<String> nodes = settings.nodes();
+    int home = nodes.indexOf(shards.homeNode(shard));
     List<Candidate> candidates = new ArrayList<>();
     for (Settings.Member member : settings.members()) {
       String node = member.node();
-      int distance = Math.floorMod(ring.indexOf(node) - home, ring.size());
+      int distance = Math.floorMod(nodes.indexOf(node) - home, nodes.size());
       peers
-          .freshReach(node)
+          .freshReachability(node)
           .map(
               reachability ->
                   new Candidate(
                       node,
                       reachability.stateSteady(),
-                      ReachScore.of(workersByZone, reachability, shard),
+                      ReachabilityScore.of(workersByZone, reachability, shard),
                       distance))
           .ifPresent(candidates::add);
     }
@@ -112,20 +117,21 @@
     }
     Map<String, Integer> workersByZone = population.workersByZone(shard);
     int ownScore = reporter.score(shard, workersByZone);
-    if (ownScore >= ReachScore.UNKNOWN) {
-      unreachedSinceMicros.remove(shard);
+    if (ownScore >= ReachabilityScore.UNKNOWN) {
+      unreachableSinceMicros.remove(shard);
       return Optional.empty();
     }
-    long since = unreachedSinceMicros.computeIfAbsent(shard, s -> nowMicros);
-    if (nowMicros - since < feature.handover().offerAfterMicros()) {
+    long sinceMicros = unreachableSinceMicros.computeIfAbsent(shard, s -> nowMicros);
+    if (nowMicros - sinceMicros < feature.handover().offerAfterMicros()) {
       return Optional.empty();
     }
-    return OwnerSelector.better(candidates(shard, workersByZone), ownScore).map(Candidate::node);
+    return OwnerSelector.betterThan(candidates(shard, workersByZone), ownScore)
+        .map(Candidate::node);
   }
 
   @Override
   public boolean mayReturnHome(int shard, String home) {
-    Optional<PeerReachability> reachability = peers.freshReach(home);
+    Optional<PeerReachability> reachability = peers.freshReachability(home);
     Long keepUntil = keepUntilMicros.get(shard);
     if (!feature.handover().enabled() || reachability.isEmpty() || keepUntil == null) {
       return true;
@@ -141,28 +147,31 @@
     return feature.handover().enabled() && offers.relinquishedToThisNode(shard, incarnation, term);
   }
 
-  /** Nodes that don't reach a shard's workers let those that do go first. */
+  /** Delays nodes that don't reach a shard's workers, so that nodes that do take over first. */
   @Override
   public long failoverDelayMicros(int shard) {
     int ownScore = reporter.score(shard, population.workersByZone(shard));
-    boolean reached = ownScore >= ReachScore.UNKNOWN;
-    return reached ? 0 : DELAY_INTERVALS * feature.links().heartbeatMicros();
+    boolean reachable = ownScore >= ReachabilityScore.UNKNOWN;
+    return reachable ? 0 : FAILOVER_DELAY_INTERVALS * feature.links().heartbeatMicros();
   }
 
-  /** Unless no other controller, as far as its records arrive, reaches the state service. */
+  /**
+   * Returns true if the state service is unreachable from here, unless records of other controllers
+   * arrive and none of these controllers reaches the state service.
+   */
   @Override
   public boolean abandonsLease() {
     if (stateLink.usable() || !feature.handover().enabled()) {
       return false;
     }
-    boolean anyFresh = false;
+    boolean anyRecordFresh = false;
     for (Settings.Member member : settings.members()) {
-      Optional<PeerReachability> reachability = peers.freshReach(member.node());
+      Optional<PeerReachability> reachability = peers.freshReachability(member.node());
       if (reachability.isPresent() && reachability.get().stateSteady()) {
         return true;
       }
-      anyFresh |= reachability.isPresent();
+      anyRecordFresh |= reachability.isPresent();
     }
-    return !anyFresh;
+    return !anyRecordFresh;
   }
 }
--- a/src/main/java/gladeknot/connectivity/ReachReporter.java
+++ b/src/main/java/gladeknot/connectivity/ReachabilityReporter.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reports to the other controllers what this one reaches, and what it offers and accepts. */
-final class ReachReporter {
+/** Reports this controller's reachability, offers and acceptances to the other controllers. */
+final class ReachabilityReporter {
   private final String node;
   private final Outbox outbox;
   private final LinkTable links;
@@ -20,7 +20,7 @@
   private final long intervalMicros;
   private long nextReportMicros;
 
-  ReachReporter(
+  ReachabilityReporter(
       String node,
       Outbox outbox,
       LinkTable links,
@@ -37,7 +37,7 @@
     this.intervalMicros = intervalMicros;
   }
 
-  /** Whether the interval since the last report is over. */
+  /** Returns whether the next report is due. */
   boolean isDue(long nowMicros) {
     return nowMicros >= nextReportMicros;
   }
@@ -58,28 +58,28 @@
     outbox.sendToPeers(PeerMessage.ofReachability(node, reachability));
   }
 
-  /** How well this controller reaches the workers of a shard, from 0 to 100. */
+  /** Returns how well this controller reaches the workers of a shard, from 0 to 100. */
   int score(int shard, Map<String, Integer> workersByZone) {
-    return ReachScore.of(workersByZone, zones(), contacts(), shard);
+    return ReachabilityScore.of(workersByZone, zones(), contacts(), shard);
   }
 
   private List<ZoneReachability> zones() {
     Map<String, Integer> percents = new TreeMap<>();
-    for (LinkTable.DirectionState state : links.all()) {
+    for (LinkTable.DirectionState state : links.directionStates()) {
       if (state.link().kind() == LinkId.Kind.WORKERS) {
-        percents.merge(state.link().name(), ReachScore.of(state.verdict()), Math::min);
+        percents.merge(state.link().name(), ReachabilityScore.of(state.verdict()), Math::min);
       }
     }
     return percents.entrySet().stream()
         .limit(PeerReachability.MAX_ENTRIES)
-        .map(zone -> new ZoneReachability(zone.getKey(), zone.getValue()))
+        .map(entry -> new ZoneReachability(entry.getKey(), entry.getValue()))
         .toList();
   }
 
   private List<ShardContact> contacts() {
     return workers.remoteContacts().entrySet().stream()
         .limit(PeerReachability.MAX_ENTRIES)
-        .map(shard -> new ShardContact(shard.getKey(), shard.getValue()))
+        .map(entry -> new ShardContact(entry.getKey(), entry.getValue()))
         .toList();
   }
 }
--- a/src/main/java/gladeknot/connectivity/ReachScore.java
+++ b/src/main/java/gladeknot/connectivity/ReachabilityScore.java
@@ -7,16 +7,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** How well a controller reaches the workers of a shard, from 0 to 100. */
-final class ReachScore {
+/** Score of how well a controller reaches the workers of a shard, from 0 to 100. */
+final class ReachabilityScore {
   static final int ALL = 100;
 
-  /** What counts for a zone of which nothing is known. */
+  /** Score of a zone without evidence. */
   static final int UNKNOWN = 50;
 
-  private ReachScore() {}
+  private ReachabilityScore() {}
 
-  /** The score of what is known of one direction. */
+  /** Returns the score of a direction with the given verdict. */
   static int of(Verdict verdict) {
     return switch (verdict) {
       case REACHABLE -> ALL;
@@ -27,34 +27,34 @@
   }
 
   /**
-   * The score for a shard: the mean over its workers of how well their zones are reached, or the
-   * share of its workers that have reported to the controller, whichever is more.
+   * Returns the score for a shard: the larger of the mean score of its workers' zones, weighted by
+   * the number of workers, and the percentage of its workers that have reported to the controller.
    */
   static int of(
       Map<String, Integer> workersByZone,
       List<ZoneReachability> zones,
       List<ShardContact> contacts,
       int shard) {
-    int all = workersByZone.values().stream().mapToInt(Integer::intValue).sum();
-    if (all == 0) {
+    int workerCount = workersByZone.values().stream().mapToInt(Integer::intValue).sum();
+    if (workerCount == 0) {
       return ALL;
     }
     Map<String, Integer> percents = new HashMap<>();
-    zones.forEach(z -> percents.put(z.zone(), z.percent()));
+    zones.forEach(zone -> percents.put(zone.zone(), zone.percent()));
     long sum = 0;
     for (Map.Entry<String, Integer> zone : workersByZone.entrySet()) {
       sum += (long) zone.getValue() * percents.getOrDefault(zone.getKey(), UNKNOWN);
     }
-    int contacted =
+    int contactedPercent =
         contacts.stream()
-            .filter(c -> c.shard() == shard)
-            .mapToInt(c -> Math.min(ALL, ALL * c.workers() / all))
+            .filter(contact -> contact.shard() == shard)
+            .mapToInt(contact -> Math.min(ALL, ALL * contact.workers() / workerCount))
             .max()
             .orElse(0);
-    return Math.max((int) (sum / all), contacted);
+    return Math.max((int) (sum / workerCount), contactedPercent);
   }
 
-  /** The score of a controller by its own record. */
+  /** Returns the score of a controller, based on its own record. */
   static int of(Map<String, Integer> workersByZone, PeerReachability reachability, int shard) {
     return of(workersByZone, reachability.zones(), reachability.contacts(), shard);
   }
--- a/src/main/java/gladeknot/connectivity/Requirement.java
+++ b/src/main/java/gladeknot/connectivity/Requirement.java
@@ -2,25 +2,25 @@
 
 /** A condition that must hold for an action to be taken. */
 public enum Requirement {
-  /** The shard is owned, not being handed over, and the state lease surely holds. */
+  /** The shard is owned and not being handed over, and the state lease is certain to be held. */
   LEASE("the state lease does not hold, or the shard is not ours"),
-  /** No transaction for the shard is without an answer. */
+  /** The outcome of every transaction for the shard is known. */
   SETTLED("a transaction got no answer, and has not been read back"),
   /** The watch cache is loaded. */
-  LOADED("the state is not read yet"),
+  CACHE_LOADED("the state is not read yet"),
   /** The watch cache is recent enough to show every cancellation that matters. */
-  FRESH_COPY("the copy of the state is too old"),
-  /** Both directions of the link to the state service can be relied on, and it serves. */
+  CACHE_FRESH("the copy of the state is too old"),
+  /** The state service is reachable in both directions and serves requests. */
   STATE_LINK("the state service can't be reached");
 
-  private final String missing;
+  private final String unmetMessage;
 
-  Requirement(String missing) {
-    this.missing = missing;
+  Requirement(String unmetMessage) {
+    this.unmetMessage = unmetMessage;
   }
 
-  /** The text for users and operators when it does not hold. */
-  public String missing() {
-    return missing;
+  /** Returns the text for users and operators when the requirement is not met. */
+  public String unmetMessage() {
+    return unmetMessage;
   }
 }
--- a/src/main/java/gladeknot/connectivity/ServiceLinkObserver.java
+++ b/src/main/java/gladeknot/connectivity/ServiceLinkObserver.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 
 /**
- * Derives evidence on the links to the state service and the cloud from the calls made there. An
- * answer proves both directions for the moment at which its request was sent; a watch that is
- * answered late proves besides that answers come in now.
+ * Derives evidence on the links to the state service and the cloud from the calls to them. An
+ * answer proves both directions as of the time at which its request was sent. The answer to a
+ * watch, which may come late, proves the inbound direction as of its arrival.
  */
 final class ServiceLinkObserver implements CallObserver {
-  private static final String WATCH = "/follow";
-  private static final int UNAVAILABLE = 503;
+  private static final String WATCH_PATH = "/follow";
+  private static final int STATUS_UNAVAILABLE = 503;
 
-  /** A call without a reply yet. */
+  /** A call that has no reply yet. */
   private record OpenCall(LinkId link, long sentMicros, boolean watch) {}
 
   private final LinkTable links;
   private final String stateAddress;
   private final String cloudAddress;
-  private final Map<Long, OpenCall> open = new HashMap<>();
+  private final Map<Long, OpenCall> openCalls = new HashMap<>();
   private long nowMicros;
 
   ServiceLinkObserver(Settings settings, LinkTable links) {
@@ -30,7 +30,7 @@
     this.cloudAddress = settings.cloudAddress();
   }
 
-  /** Sets the time by which evidence is dated. */
+  /** Sets the current time, with which evidence is dated. */
   void setTime(long micros) {
     nowMicros = micros;
   }
@@ -44,13 +44,13 @@
       link = LinkId.CLOUD;
     }
     if (link != null) {
-      open.put(call.id(), new OpenCall(link, nowMicros, call.path().startsWith(WATCH)));
+      openCalls.put(call.id(), new OpenCall(link, nowMicros, call.path().startsWith(WATCH_PATH)));
     }
   }
 
   @Override
   public void replied(long callId, int status) {
-    OpenCall call = open.remove(callId);
+    OpenCall call = openCalls.remove(callId);
     if (call == null) {
       return;
     }
@@ -58,19 +58,19 @@
     DirectionHealth inbound = links.health(call.link(), Direction.INBOUND);
     DirectionHealth service = links.health(call.link(), Direction.SERVICE);
     if (status == 0) {
-      // A watch that ends without an answer may have hung for other reasons than the link.
+      // A watch can end without an answer although the link works.
       if (!call.watch()) {
-        outbound.overdue(call.sentMicros());
-        inbound.overdue(call.sentMicros());
+        outbound.recordOverdue(call.sentMicros());
+        inbound.recordOverdue(call.sentMicros());
       }
       return;
     }
-    outbound.proven(call.sentMicros());
-    inbound.proven(call.watch() ? nowMicros : call.sentMicros());
-    if (status == UNAVAILABLE) {
-      service.overdue(call.sentMicros());
+    outbound.recordProven(call.sentMicros());
+    inbound.recordProven(call.watch() ? nowMicros : call.sentMicros());
+    if (status == STATUS_UNAVAILABLE) {
+      service.recordOverdue(call.sentMicros());
     } else {
-      service.proven(call.sentMicros());
+      service.recordProven(call.sentMicros());
     }
   }
 }
--- a/src/main/java/gladeknot/connectivity/ShardView.java
+++ b/src/main/java/gladeknot/connectivity/ShardView.java
@@ -3,41 +3,41 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** The shards, their owners and their workers, by the watch cache. */
+/** The shards, their owners and their workers, as the watch cache shows them. */
 public interface ShardView {
-  /** How a worker is reached; the endpoint is null while it is unknown. */
+  /** The address of a worker; the endpoint is null while unknown. */
   record WorkerAddress(String host, String zone, String endpoint) {}
 
-  /** How many shards there are; they are numbered from 0. */
+  /** Returns the number of shards; shards are numbered from 0. */
   int shardCount();
 
-  /** The controller that owns a shard while all is well. */
+  /** Returns the controller that owns a shard when no failover is in effect. */
   String homeNode(int shard);
 
-  /** The owner by the shard's key, alive or not. */
+  /** Returns the owner that the shard's key names, whether alive or not. */
   Optional<String> owner(int shard);
 
-  /** The owner's incarnation by the shard's key. */
+  /** Returns the owner's incarnation that the shard's key names. */
   long incarnation(int shard);
 
-  /** The term by the shard's key. */
+  /** Returns the term that the shard's key names. */
   long term(int shard);
 
   /**
-   * The highest term that an owned shard may have: a write of its key may have been executed, and
-   * its answer lost.
+   * Returns the highest term that an owned shard may have. It can exceed {@link #term} because a
+   * write of the shard's key may have been executed and its answer lost.
    */
   long highestTerm(int shard);
 
-  /** Whether this incarnation of this controller owns a shard. */
+  /** Returns whether this incarnation of this controller owns a shard. */
   boolean isOwned(int shard);
 
   /**
-   * Stops all action for an owned shard, under every term up to {@link #highestTerm}, until its key
-   * has changed.
+   * Stops all actions for an owned shard, under every term up to {@link #highestTerm}, until the
+   * shard's key has changed.
    */
   void relinquish(int shard);
 
-  /** The workers of a shard. */
+  /** Returns the workers of a shard. */
   Collection<WorkerAddress> workers(int shard);
 }
--- a/src/main/java/gladeknot/connectivity/StatusReport.java
+++ b/src/main/java/gladeknot/connectivity/StatusReport.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** The status for operators as JSON: members, shards, links, authority and its last changes. */
+/** The status for operators as JSON: members, shards, links, authority and recent changes. */
 final class StatusReport {
-  private static final double MICROS_A_SECOND = 1e6;
+  private static final double MICROS_PER_SECOND = 1e6;
 
   private final Settings settings;
   private final ShardView shards;
@@ -34,19 +34,19 @@
     this.peers = peers;
   }
 
-  /** A direction's fault in words: which link, which direction, what and for how long. */
+  /** Describes a direction's fault: the link, the direction, the verdict and its duration. */
   static String describe(LinkTable.DirectionState state, long nowMicros) {
     return state.link()
         + " "
-        + state.direction().word()
+        + state.direction().displayName()
         + " "
-        + state.verdict().word()
+        + state.verdict().displayName()
         + " for "
-        + (nowMicros - state.sinceMicros()) / (long) MICROS_A_SECOND
+        + (nowMicros - state.sinceMicros()) / (long) MICROS_PER_SECOND
         + " s";
   }
 
-  /** The whole as it goes out as JSON. */
+  /** Builds the complete status as JSON. */
   Map<String, Object> build(
       List<ShardOffer> offers, List<AuthorityLog.Change> changes, long nowMicros, long wallMicros) {
     return Json.of(
@@ -78,15 +78,15 @@
   private List<Object> members() {
     List<Object> members = new ArrayList<>();
     for (Settings.Member member : settings.members()) {
-      OptionalLong heardAgo = peers.sinceLastRecordMicros(member.node());
+      OptionalLong sinceLastRecordMicros = peers.sinceLastRecordMicros(member.node());
       Boolean stateSteady =
-          peers.freshReach(member.node()).map(PeerReachability::stateSteady).orElse(null);
+          peers.freshReachability(member.node()).map(PeerReachability::stateSteady).orElse(null);
       members.add(
           Json.of(
               "node",
               member.node(),
               "heardAgoS",
-              heardAgo.isPresent() ? seconds(heardAgo.getAsLong()) : null,
+              sinceLastRecordMicros.isPresent() ? seconds(sinceLastRecordMicros.getAsLong()) : null,
               "stateSteady",
               stateSteady));
     }
@@ -109,7 +109,7 @@
               "workers",
               shards.workers(shard).size(),
               "authority",
-              shards.isOwned(shard) ? authority.level(shard).word() : null,
+              shards.isOwned(shard) ? authority.level(shard).displayName() : null,
               "cause",
               shards.isOwned(shard) ? authority.cause(shard) : "",
               "offeredTo",
@@ -118,7 +118,7 @@
     return rows;
   }
 
-  /** The node to which a shard is offered; null, which is shown as such, if it is not offered. */
+  /** Returns the node to which a shard is offered; null, shown as such, if it is not offered. */
   private static String offeredTo(int shard, List<ShardOffer> offers) {
     for (ShardOffer offer : offers) {
       if (offer.shard() == shard) {
@@ -130,16 +130,16 @@
 
   private List<Object> links(long nowMicros) {
     List<Object> rows = new ArrayList<>();
-    for (LinkTable.DirectionState state : links.all()) {
+    for (LinkTable.DirectionState state : links.directionStates()) {
       double penalty = links.health(state.link(), state.direction()).penalty(nowMicros);
       rows.add(
           Json.of(
               "link",
               state.link().toString(),
               "direction",
-              state.direction().word(),
+              state.direction().displayName(),
               "verdict",
-              state.verdict().word(),
+              state.verdict().displayName(),
               "sinceS",
               seconds(nowMicros - state.sinceMicros()),
               "provenAgoS",
@@ -160,9 +160,9 @@
               "shard",
               change.shard(),
               "from",
-              change.from().word(),
+              change.from().displayName(),
               "to",
-              change.to().word(),
+              change.to().displayName(),
               "cause",
               change.cause()));
     }
--- a/src/main/java/gladeknot/connectivity/Verdict.java
+++ b/src/main/java/gladeknot/connectivity/Verdict.java
@@ -2,31 +2,31 @@
 
 import java.util.Locale;
 
-/** What is concluded of one direction of a link. */
+/** The verdict on one direction of a link. */
 public enum Verdict {
-  /** Nothing has been sent or received yet. */
+  /** There is no evidence yet. */
   UNKNOWN,
-  /** What was sent last got through. */
+  /** The last message that was due got through. */
   REACHABLE,
-  /** Something has been overdue for a while. */
+  /** A message has been overdue for longer than the suspect limit. */
   SUSPECT,
-  /** Something has been overdue for so long that nothing new may rely on it. */
+  /** A message has been overdue for so long that no new action may rely on this direction. */
   UNREACHABLE,
-  /** Works again, but not for long enough yet. */
+  /** The direction works again, but not for long enough yet. */
   PROBATION;
 
-  /** Whether what is sent now may be relied on to arrive. */
+  /** Returns whether messages sent now may be relied on to arrive. */
   public boolean usable() {
     return this != UNREACHABLE;
   }
 
-  /** Whether it has worked for long enough to base the failover of a shard on it. */
+  /** Returns whether the direction has worked long enough to base a shard's failover on it. */
   public boolean steady() {
     return this == REACHABLE;
   }
 
-  /** The word for logs and the operators' listener. */
-  public String word() {
+  /** Returns the text for logs and the operators' listener. */
+  public String displayName() {
     return name().toLowerCase(Locale.ROOT);
   }
 }
--- a/src/main/java/gladeknot/connectivity/WorkerLinkObserver.java
+++ b/src/main/java/gladeknot/connectivity/WorkerLinkObserver.java
@@ -12,28 +12,29 @@
 
 /**
  * Derives evidence on the links to the workers, by zone. Heartbeats that arrive prove the inbound
- * direction. A worker that continues here without a pause has received this controller's response,
- * which proves the outbound direction; one that comes back after heartbeats to other controllers
- * has not. A zone's link fails in a direction when half of its workers do.
+ * direction. A worker that continues to send heartbeats here without a pause has received this
+ * controller's response, which proves the outbound direction. A worker that returns after
+ * heartbeats to other controllers has not. A zone's link fails in a direction when at least half of
+ * the zone's workers fail in it.
  */
 final class WorkerLinkObserver {
-  /** A worker waits so long for a response before it tries the next controller. */
-  private static final long ANSWER_WAIT_MICROS = 4_000_000;
+  /** A worker's response timeout, after which it tries the next controller. */
+  private static final long RESPONSE_TIMEOUT_MICROS = 4_000_000;
 
-  /** Added to the heartbeat interval: for long polls and the time on the way. */
-  private static final long GRACE_MICROS = 2_000_000;
+  /** Margin added to the heartbeat interval, for long polls and network delay. */
+  private static final long HEARTBEAT_MARGIN_MICROS = 2_000_000;
 
-  /** Heartbeats arrive within so many times their usual interval. */
-  private static final double LATEST_HEARTBEAT_INTERVALS = 1.25;
+  /** Upper bound of the time between two heartbeats, in heartbeat intervals. */
+  private static final double MAX_HEARTBEAT_INTERVALS = 1.25;
 
-  /** For so long a heartbeat counts as contact with a worker of a remote shard. */
-  private static final long CONTACT_MICROS = 10_000_000;
+  /** Time for which a heartbeat counts as contact with a worker of a remote shard. */
+  private static final long CONTACT_VALIDITY_MICROS = 10_000_000;
 
-  private static final long SWEEP_MICROS = 500_000;
+  private static final long SWEEP_INTERVAL_MICROS = 500_000;
 
-  private static final long NONE = Long.MIN_VALUE / 2;
+  private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
-  /** What is known of one worker. */
+  /** The observations of one worker. */
   private static final class Contact {
     private String zone;
     private int shard;
@@ -41,54 +42,55 @@
     private long incarnation;
     private long sequence;
     private long heartbeatMicros;
-    private long answeredMicros = NONE;
+    private long answeredMicros = NEVER_MICROS;
 
-    /** The newest heartbeat whose response was received, and since when responses were lost. */
-    private long confirmedMicros = NONE;
+    /** The time of the newest heartbeat whose response the worker has received. */
+    private long confirmedMicros = NEVER_MICROS;
 
-    private long unreachedSinceMicros = NONE;
+    /** The time of the first heartbeat whose response was lost, if the worker is unreachable. */
+    private long unreachableSinceMicros = NEVER_MICROS;
 
-    private boolean unreached() {
-      return unreachedSinceMicros != NONE;
+    private boolean unreachable() {
+      return unreachableSinceMicros != NEVER_MICROS;
     }
   }
 
   /**
-   * How many workers of owned shards a zone has, how many of them have timed out, and how many are
-   * unreached by responses. What all the others have proved counts from the oldest of their
-   * heartbeats: those that have timed out by now must not look as if they were proved since.
+   * Counts of a zone's workers of owned shards: all of them, those whose heartbeats have timed out
+   * and those that receive no responses. Evidence from the remaining workers is dated with the
+   * oldest of their heartbeats, so that it never counts as proof for workers that timed out later.
    */
-  private static final class Population {
+  private static final class ZoneCounts {
     private int all;
     private int timedOut;
-    private int unreached;
+    private int unreachable;
     private long firstTimedOutMicros = Long.MAX_VALUE;
-    private long firstUnreachedMicros = Long.MAX_VALUE;
-    private long allInboundMicros = Long.MAX_VALUE;
-    private long allConfirmedMicros = Long.MAX_VALUE;
+    private long firstUnreachableMicros = Long.MAX_VALUE;
+    private long oldestHeartbeatMicros = Long.MAX_VALUE;
+    private long oldestConfirmedMicros = Long.MAX_VALUE;
   }
 
   private final LinkTable links;
-  private final long latestHeartbeatMicros;
+  private final long maxHeartbeatIntervalMicros;
   private final Map<String, Contact> contacts = new LinkedHashMap<>();
   private long nowMicros;
   private long nextSweepMicros;
 
   WorkerLinkObserver(Settings settings, LinkTable links) {
     this.links = links;
-    this.latestHeartbeatMicros =
-        (long) (settings.workers().heartbeatMicros() * LATEST_HEARTBEAT_INTERVALS);
+    this.maxHeartbeatIntervalMicros =
+        (long) (settings.workers().heartbeatMicros() * MAX_HEARTBEAT_INTERVALS);
   }
 
-  /** A heartbeat has arrived that is newer than those before it. */
+  /** Handles a heartbeat that is newer than all earlier ones of its worker. */
   void onHeartbeat(Arrival arrival) {
-    Contact contact = contacts.computeIfAbsent(arrival.host(), h -> new Contact());
+    Contact contact = contacts.computeIfAbsent(arrival.host(), host -> new Contact());
     if (contact.owned && arrival.owned()) {
-      judgeAnswer(contact, arrival);
+      evaluateResponse(contact, arrival);
     } else {
-      contact.unreachedSinceMicros = NONE;
-      contact.confirmedMicros = NONE;
-      contact.answeredMicros = NONE;
+      contact.unreachableSinceMicros = NEVER_MICROS;
+      contact.confirmedMicros = NEVER_MICROS;
+      contact.answeredMicros = NEVER_MICROS;
     }
     contact.zone = arrival.zone();
     contact.shard = arrival.shard();
@@ -98,23 +100,23 @@
     contact.heartbeatMicros = nowMicros;
   }
 
-  /** Concludes from a heartbeat whether the response to the one before it was received. */
-  private void judgeAnswer(Contact contact, Arrival arrival) {
+  /** Derives from a heartbeat whether the response to the previous one was received. */
+  private void evaluateResponse(Contact contact, Arrival arrival) {
     if (contact.answeredMicros < contact.heartbeatMicros) {
       return;
     }
-    boolean prompt = nowMicros - contact.heartbeatMicros < ANSWER_WAIT_MICROS;
-    boolean elsewhere =
+    boolean withinTimeout = nowMicros - contact.heartbeatMicros < RESPONSE_TIMEOUT_MICROS;
+    boolean contactedOthers =
         arrival.sequence() > contact.sequence + 1 || arrival.incarnation() > contact.incarnation;
-    if (prompt || !elsewhere) {
-      contact.unreachedSinceMicros = NONE;
+    if (withinTimeout || !contactedOthers) {
+      contact.unreachableSinceMicros = NEVER_MICROS;
       contact.confirmedMicros = contact.heartbeatMicros;
-    } else if (!contact.unreached()) {
-      contact.unreachedSinceMicros = contact.heartbeatMicros;
+    } else if (!contact.unreachable()) {
+      contact.unreachableSinceMicros = contact.heartbeatMicros;
     }
   }
 
-  /** The heartbeat of a worker of an owned shard is answered with 200. */
+  /** Handles that a heartbeat of a worker of an owned shard is answered with 200. */
   void onAnswered(String host) {
     Contact contact = contacts.get(host);
     if (contact != null) {
@@ -122,7 +124,7 @@
     }
   }
 
-  /** The shard is not owned any more: its workers' heartbeats here prove nothing any more. */
+  /** Discards the workers of a released shard: their heartbeats are no evidence any longer. */
   void onReleased(int shard) {
     Set<String> zones = new HashSet<>();
     for (Contact contact : contacts.values()) {
@@ -130,78 +132,81 @@
         zones.add(contact.zone);
       }
     }
-    contacts.values().removeIf(c -> c.owned && c.shard == shard);
-    contacts.values().stream().filter(c -> c.owned).forEach(c -> zones.remove(c.zone));
-    // No owned worker is left in these zones: their last verdicts would stand for ever.
-    zones.forEach(zone -> links.forget(LinkId.workers(zone)));
+    contacts.values().removeIf(contact -> contact.owned && contact.shard == shard);
+    contacts.values().stream()
+        .filter(contact -> contact.owned)
+        .forEach(contact -> zones.remove(contact.zone));
+    // These zones have no owned workers left; their last verdicts would never change again.
+    zones.forEach(zone -> links.remove(LinkId.workers(zone)));
   }
 
-  /** Advances the time, and passes what all contacts show to the zones' links. */
-  void tick(long now) {
-    nowMicros = now;
-    if (now < nextSweepMicros) {
+  /** Advances the time and records the evidence of all workers on the links of their zones. */
+  void tick(long steadyMicros) {
+    nowMicros = steadyMicros;
+    if (steadyMicros < nextSweepMicros) {
       return;
     }
-    nextSweepMicros = now + SWEEP_MICROS;
-    Map<String, Population> zones = new TreeMap<>();
+    nextSweepMicros = steadyMicros + SWEEP_INTERVAL_MICROS;
+    Map<String, ZoneCounts> zones = new TreeMap<>();
     for (Iterator<Contact> all = contacts.values().iterator(); all.hasNext(); ) {
       Contact contact = all.next();
-      long age = now - contact.heartbeatMicros;
+      long ageMicros = steadyMicros - contact.heartbeatMicros;
       if (contact.owned) {
-        count(zones.computeIfAbsent(contact.zone, z -> new Population()), contact, age);
-      } else if (age > CONTACT_MICROS) {
+        count(zones.computeIfAbsent(contact.zone, zone -> new ZoneCounts()), contact, ageMicros);
+      } else if (ageMicros > CONTACT_VALIDITY_MICROS) {
         all.remove();
       }
     }
-    zones.forEach(this::conclude);
+    zones.forEach(this::updateLink);
   }
 
-  private void count(Population population, Contact contact, long age) {
-    population.all++;
-    if (age > latestHeartbeatMicros + GRACE_MICROS) {
-      population.timedOut++;
-      population.firstTimedOutMicros =
-          Math.min(population.firstTimedOutMicros, contact.heartbeatMicros + latestHeartbeatMicros);
+  private void count(ZoneCounts counts, Contact contact, long ageMicros) {
+    counts.all++;
+    if (ageMicros > maxHeartbeatIntervalMicros + HEARTBEAT_MARGIN_MICROS) {
+      counts.timedOut++;
+      counts.firstTimedOutMicros =
+          Math.min(
+              counts.firstTimedOutMicros, contact.heartbeatMicros + maxHeartbeatIntervalMicros);
       return;
     }
-    population.allInboundMicros = Math.min(population.allInboundMicros, contact.heartbeatMicros);
-    if (contact.unreached()) {
-      population.unreached++;
-      population.firstUnreachedMicros =
-          Math.min(population.firstUnreachedMicros, contact.unreachedSinceMicros);
-    } else if (contact.confirmedMicros != NONE) {
-      population.allConfirmedMicros =
-          Math.min(population.allConfirmedMicros, contact.confirmedMicros);
+    counts.oldestHeartbeatMicros = Math.min(counts.oldestHeartbeatMicros, contact.heartbeatMicros);
+    if (contact.unreachable()) {
+      counts.unreachable++;
+      counts.firstUnreachableMicros =
+          Math.min(counts.firstUnreachableMicros, contact.unreachableSinceMicros);
+    } else if (contact.confirmedMicros != NEVER_MICROS) {
+      counts.oldestConfirmedMicros =
+          Math.min(counts.oldestConfirmedMicros, contact.confirmedMicros);
     }
   }
 
-  private void conclude(String zone, Population population) {
+  private void updateLink(String zone, ZoneCounts counts) {
     DirectionHealth inbound = links.health(LinkId.workers(zone), Direction.INBOUND);
     DirectionHealth outbound = links.health(LinkId.workers(zone), Direction.OUTBOUND);
-    if (2 * population.timedOut >= population.all) {
-      inbound.overdue(population.firstTimedOutMicros);
+    if (2 * counts.timedOut >= counts.all) {
+      inbound.recordOverdue(counts.firstTimedOutMicros);
       return;
     }
-    inbound.proven(population.allInboundMicros);
-    if (2 * population.unreached >= population.all) {
-      outbound.overdue(population.firstUnreachedMicros);
-    } else if (population.allConfirmedMicros != Long.MAX_VALUE) {
-      outbound.proven(population.allConfirmedMicros);
+    inbound.recordProven(counts.oldestHeartbeatMicros);
+    if (2 * counts.unreachable >= counts.all) {
+      outbound.recordOverdue(counts.firstUnreachableMicros);
+    } else if (counts.oldestConfirmedMicros != Long.MAX_VALUE) {
+      outbound.recordProven(counts.oldestConfirmedMicros);
     }
   }
 
-  /** Of the workers of owned shards, keeps those named; the others were released or moved. */
+  /** Discards workers of owned shards that are not named, as they were released or transferred. */
   void retainOwned(Set<String> hosts) {
     contacts
         .entrySet()
         .removeIf(contact -> contact.getValue().owned && !hosts.contains(contact.getKey()));
   }
 
-  /** How many workers of each remote shard have sent heartbeats here recently. */
+  /** Returns the number of workers of each remote shard that recently sent heartbeats here. */
   Map<Integer, Integer> remoteContacts() {
     Map<Integer, Integer> remoteContacts = new HashMap<>();
     for (Contact contact : contacts.values()) {
-      if (!contact.owned && nowMicros - contact.heartbeatMicros <= CONTACT_MICROS) {
+      if (!contact.owned && nowMicros - contact.heartbeatMicros <= CONTACT_VALIDITY_MICROS) {
         remoteContacts.merge(contact.shard, 1, Integer::sum);
       }
     }
--- a/src/test/java/gladeknot/connectivity/AuthorityTest.java
+++ b/src/test/java/gladeknot/connectivity/AuthorityTest.java
@@ -14,7 +14,8 @@
   private static final Set<ControlAction> ALL = EnumSet.allOf(ControlAction.class);
 
   /** Facts of which one does not hold. */
-  private record AllBut(Requirement missing) implements Authority.ShardFacts, Authority.StateLink {
+  private record AllExcept(Requirement missing)
+      implements Authority.ShardFacts, Authority.StateLink {
     @Override
     public boolean leaseHolds(int shard) {
       return missing != Requirement.LEASE;
@@ -27,12 +28,12 @@
 
     @Override
     public boolean cacheLoaded() {
-      return missing != Requirement.LOADED;
+      return missing != Requirement.CACHE_LOADED;
     }
 
     @Override
     public boolean cacheFresh() {
-      return missing != Requirement.FRESH_COPY;
+      return missing != Requirement.CACHE_FRESH;
     }
 
     @Override
@@ -47,14 +48,14 @@
   }
 
   private static Set<ControlAction> permitted(Requirement missing) {
-    AllBut facts = new AllBut(missing);
+    AllExcept facts = new AllExcept(missing);
     Authority authority = new Authority(facts, facts);
     EnumSet<ControlAction> permitted = EnumSet.noneOf(ControlAction.class);
     ALL.stream().filter(kind -> authority.permits(kind, 0)).forEach(permitted::add);
     return permitted;
   }
 
-  private static Set<ControlAction> allBut(ControlAction... kinds) {
+  private static Set<ControlAction> allExcept(ControlAction... kinds) {
     return EnumSet.complementOf(EnumSet.copyOf(List.of(kinds)));
   }
 
@@ -68,9 +69,9 @@
       ControlAction.CHANGE_QUOTA
     };
     assertEquals(ALL, permitted(null));
-    assertEquals(allBut(committed), permitted(Requirement.SETTLED));
-    assertEquals(allBut(committed), permitted(Requirement.LOADED));
-    assertEquals(allBut(ControlAction.SEND_RUN), permitted(Requirement.FRESH_COPY));
+    assertEquals(allExcept(committed), permitted(Requirement.SETTLED));
+    assertEquals(allExcept(committed), permitted(Requirement.CACHE_LOADED));
+    assertEquals(allExcept(ControlAction.SEND_RUN), permitted(Requirement.CACHE_FRESH));
     assertEquals(
         Set.of(
             ControlAction.KILL_CANCELLED, ControlAction.TRANSFER_SHARD, ControlAction.ANSWER_USER),
@@ -92,18 +93,18 @@
         Map.of(
             Requirement.LEASE, AuthorityLevel.RELINQUISHED,
             Requirement.SETTLED, AuthorityLevel.NO_NEW_ORDERS,
-            Requirement.LOADED, AuthorityLevel.NO_NEW_ORDERS,
-            Requirement.FRESH_COPY, AuthorityLevel.NO_NEW_ORDERS,
+            Requirement.CACHE_LOADED, AuthorityLevel.NO_NEW_ORDERS,
+            Requirement.CACHE_FRESH, AuthorityLevel.NO_NEW_ORDERS,
             Requirement.STATE_LINK, AuthorityLevel.NO_NEW_ORDERS);
     for (Requirement missing : Requirement.values()) {
-      AllBut facts = new AllBut(missing);
+      AllExcept facts = new AllExcept(missing);
       Authority authority = new Authority(facts, facts);
       assertEquals(levels.get(missing), authority.level(0), missing.name());
-      assertTrue(authority.cause(0).startsWith(missing.missing()), authority.cause(0));
+      assertTrue(authority.cause(0).startsWith(missing.unmetMessage()), authority.cause(0));
     }
-    AllBut link = new AllBut(Requirement.STATE_LINK);
+    AllExcept link = new AllExcept(Requirement.STATE_LINK);
     assertTrue(new Authority(link, link).refusal().contains("state inbound unreachable for 5 s"));
-    AllBut none = new AllBut(null);
+    AllExcept none = new AllExcept(null);
     assertEquals(AuthorityLevel.FULL, new Authority(none, none).level(0));
     assertEquals(null, new Authority(none, none).refusal());
   }
--- a/src/test/java/gladeknot/connectivity/LinkJudgementTest.java
+++ b/src/test/java/gladeknot/connectivity/LinkVerdictTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Direction verdicts, flap damping and owner selection, each with explicit times. */
-class LinkJudgementTest {
+class LinkVerdictTest {
   private static final long SECOND = 1_000_000;
   private static final DirectionHealth.Limits LIMITS =
       new DirectionHealth.Limits(SECOND, 4 * SECOND, 5 * SECOND);
@@ -33,13 +33,13 @@
   void aDirectionGoesThroughItsVerdictsInOrder() {
     DirectionHealth health = new DirectionHealth(LIMITS, DAMPING);
     assertEquals(Verdict.UNKNOWN, after(health, 1));
-    health.proven(at(1));
+    health.recordProven(at(1));
     assertEquals(Verdict.REACHABLE, after(health, 1));
-    health.overdue(at(2));
+    health.recordOverdue(at(2));
     assertEquals(Verdict.REACHABLE, after(health, 2.9));
     assertEquals(Verdict.SUSPECT, after(health, 3.1));
     assertEquals(Verdict.UNREACHABLE, after(health, 6.1));
-    health.proven(at(7));
+    health.recordProven(at(7));
     assertEquals(Verdict.PROBATION, after(health, 7.1));
     assertEquals(Verdict.PROBATION, after(health, 12));
     assertEquals(Verdict.REACHABLE, after(health, 12.2));
@@ -48,11 +48,11 @@
   @Test
   void evidenceCountsByWhenItWasSent() {
     DirectionHealth health = new DirectionHealth(LIMITS, DAMPING);
-    health.proven(at(5));
-    health.overdue(at(4));
+    health.recordProven(at(5));
+    health.recordOverdue(at(4));
     assertEquals(Verdict.REACHABLE, after(health, 30));
-    health.overdue(at(31));
-    health.proven(at(30.5));
+    health.recordOverdue(at(31));
+    health.recordProven(at(30.5));
     assertEquals(Verdict.UNREACHABLE, after(health, 36));
   }
 
@@ -61,15 +61,15 @@
     DirectionHealth health = new DirectionHealth(LIMITS, DAMPING);
     double start = 0;
     for (int i = 0; i < 20; i++) {
-      health.overdue(at(start + 0.1));
+      health.recordOverdue(at(start + 0.1));
       after(health, start + 4.5);
-      health.proven(at(start + 5));
+      health.recordProven(at(start + 5));
       after(health, start + 5);
       after(health, start + 9.9);
       start += 10;
       assertTrue(i < 3 || health.verdict() == Verdict.PROBATION);
     }
-    health.proven(at(start));
+    health.recordProven(at(start));
     assertEquals(Verdict.PROBATION, after(health, start + 30));
     // Longest suppression, and the probation.
     assertEquals(Verdict.REACHABLE, after(health, start + 66));
@@ -78,10 +78,10 @@
   @Test
   void aPenaltyIsBoundedAndDecays() {
     FlapDamping damping = new FlapDamping(DAMPING);
-    damping.changed(0);
+    damping.recordChange(0);
     assertFalse(damping.suppressed(0));
     for (int i = 0; i < 100; i++) {
-      damping.changed(at(i * 0.1));
+      damping.recordChange(at(i * 0.1));
     }
     assertTrue(damping.suppressed(at(10)));
     assertEquals(3200, damping.penalty(at(9.9)), 1);
@@ -108,7 +108,7 @@
           OwnerSelector.best(testCase.candidates(), testCase.least()).map(Candidate::node);
       assertEquals(testCase.chosen(), best.orElse(""), testCase.toString());
     }
-    assertEquals(Optional.empty(), OwnerSelector.better(List.of(steady("a", 60, 0)), 50));
+    assertEquals(Optional.empty(), OwnerSelector.betterThan(List.of(steady("a", 60, 0)), 50));
   }
 
   private static Candidate steady(String node, int percent, int distance) {
@@ -120,11 +120,11 @@
     List<ZoneReachability> zones =
         List.of(new ZoneReachability("a", 100), new ZoneReachability("b", 0));
     Map<String, Integer> workers = Map.of("a", 1, "b", 3);
-    assertEquals(25, ReachScore.of(workers, zones, List.of(), 0));
-    assertEquals(50, ReachScore.of(Map.of("c", 7), zones, List.of(), 0));
-    assertEquals(100, ReachScore.of(Map.of(), zones, List.of(), 0));
+    assertEquals(25, ReachabilityScore.of(workers, zones, List.of(), 0));
+    assertEquals(50, ReachabilityScore.of(Map.of("c", 7), zones, List.of(), 0));
+    assertEquals(100, ReachabilityScore.of(Map.of(), zones, List.of(), 0));
     List<ShardContact> contacts = List.of(new ShardContact(0, 3));
-    assertEquals(75, ReachScore.of(workers, zones, contacts, 0));
-    assertEquals(25, ReachScore.of(workers, zones, contacts, 1));
+    assertEquals(75, ReachabilityScore.of(workers, zones, contacts, 0));
+    assertEquals(25, ReachabilityScore.of(workers, zones, contacts, 1));
   }
 }
