--- a/src/main/java/gladeknot/peer/PeerLinks.java
+++ b/src/main/java/gladeknot/peer/PeerLinks.java
@@ -27,8 +27,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Connections between controllers. Each controller sends on a connection of its own to every other
- * one, and receives on those that the others have opened. Runs on the event loop's thread.
+ * Connections between controllers. Each controller opens a connection to every other controller for
+ * the messages that it sends, and receives on the connections that the others open. Runs on the
+ * event loop's thread.
  */
 public final class PeerLinks {
   private static final Logger LOG = LoggerFactory.getLogger(PeerLinks.class);
@@ -36,9 +37,9 @@
   private static final int LENGTH_BYTES = 4;
   private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-  /** Takes received messages in. */
+  /** Handles received messages. */
   public interface MessageHandler {
-    /** A message of another controller, on the event loop's thread. */
+    /** Handles a message of another controller, on the event loop's thread. */
     void onMessage(PeerMessage message);
   }
 
@@ -48,14 +49,14 @@
   private final Map<String, Channel> channels = new HashMap<>();
   private final Map<String, ChannelFuture> connecting = new HashMap<>();
 
-  /** Links to all other controllers; what they send goes to the handler. */
+  /** Creates links to all other controllers; the handler gets the messages that they send. */
   public PeerLinks(Settings settings, EventLoopGroup group, MessageHandler handler) {
     this.settings = settings;
     this.group = group;
     this.handler = handler;
   }
 
-  /** Listens for the other controllers. */
+  /** Listens for connections of the other controllers. */
   public void listen() {
     new ServerBootstrap()
         .group(group)
@@ -72,7 +73,7 @@
         address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
   }
 
-  /** Sends a message to all others; one that is not connected receives later messages only. */
+  /** Sends a message to all other controllers; those not connected receive only later messages. */
   public void send(PeerMessage message) {
     byte[] encoded = message.encode();
     for (Settings.Member member : settings.members()) {
@@ -86,8 +87,8 @@
   }
 
   private void connect(Settings.Member member) {
-    ChannelFuture before = connecting.get(member.node());
-    if (before != null && !before.isDone()) {
+    ChannelFuture pending = connecting.get(member.node());
+    if (pending != null && !pending.isDone()) {
       return;
     }
     ChannelFuture future =
@@ -129,7 +130,7 @@
     }
   }
 
-  /** Closes a connection that has failed; the next message opens another one. */
+  /** Closes a failed connection; the next message opens a new connection. */
   private static final class CloseOnErrorHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
--- a/src/main/java/gladeknot/peer/PeerMessageCodec.java
+++ b/src/main/java/gladeknot/peer/PeerMessageCodec.java
@@ -12,8 +12,9 @@
 import java.util.Optional;
 
 /**
- * The binary form of a {@link PeerMessage}. It begins with the number of its format; a reader takes
- * what it knows of a later format and ignores what that has added at the end.
+ * The binary encoding of a {@link PeerMessage}, which begins with the number of its format. When a
+ * message has a later format than the reader knows, the reader decodes the fields that it knows and
+ * ignores the fields that the later format adds at the end.
  */
 final class PeerMessageCodec {
   /** The format of the first version, without cancelled jobs. */
@@ -22,8 +23,8 @@
   /** Adds cancelled jobs. */
   private static final int FORMAT_CANCELLATIONS = 2;
 
-  /** Adds what the sender reaches; written only where that is there. */
-  private static final int FORMAT_REACH = 3;
+  /** Adds the sender's reachability; written only for messages that contain it. */
+  private static final int FORMAT_REACHABILITY = 3;
 
   private PeerMessageCodec() {}
 
@@ -38,7 +39,7 @@
   }
 
   private static void write(PeerMessage message, DataOutputStream out) throws IOException {
-    out.writeByte(message.reachability().isPresent() ? FORMAT_REACH : FORMAT_CANCELLATIONS);
+    out.writeByte(message.reachability().isPresent() ? FORMAT_REACHABILITY : FORMAT_CANCELLATIONS);
     out.writeUTF(message.from());
     out.writeInt(message.shard());
     out.writeLong(message.term());
@@ -58,7 +59,7 @@
     }
   }
 
-  /** Reads a message; fails with IOException when it is malformed. */
+  /** Decodes a message; throws an IOException if it is malformed. */
   static PeerMessage decode(byte[] bytes) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
     int format = in.readByte();
@@ -66,7 +67,7 @@
       throw new IOException("unknown format " + format);
     }
     PeerMessage message = read(in, format);
-    if (format <= FORMAT_REACH && in.available() > 0) {
+    if (format <= FORMAT_REACHABILITY && in.available() > 0) {
       throw new IOException("longer than it says");
     }
     return message;
@@ -87,7 +88,7 @@
     List<String> cancelledJobs =
         format >= FORMAT_CANCELLATIONS ? readCancelledJobs(in) : new ArrayList<>();
     Optional<PeerReachability> reachability =
-        format >= FORMAT_REACH && in.readBoolean()
+        format >= FORMAT_REACHABILITY && in.readBoolean()
             ? Optional.of(PeerReachabilityCodec.read(in))
             : Optional.empty();
     return new PeerMessage(from, shard, term, deficits, cancelledJobs, reachability);
--- a/src/main/java/gladeknot/peer/PeerReachability.java
+++ b/src/main/java/gladeknot/peer/PeerReachability.java
@@ -3,17 +3,20 @@
 import java.util.List;
 
 /**
- * What a controller says of its links: whose messages it receives, what it reaches, and which
- * shards it offers, would take, or has yielded. Each message holds all of it, so that a later one
- * makes up for those that were lost; {@code processStartMicros} and {@code sequence} order them.
+ * A controller's report on its links: the controllers whose messages it receives, the state service
+ * and workers that it reaches, and the shards that it offers, accepts or has relinquished. Each
+ * message is complete, so that a later message replaces lost ones. Messages are ordered by {@code
+ * processStartMicros}, then by {@code sequence}.
  *
- * @param processStartMicros the number of the sending process, greater for each restart
+ * @param processStartMicros the time of day at which the sending process started, which identifies
+ *     the process and is greater after each restart unless the clock was set back
  * @param sequence the number of the message in this process, from 1
- * @param stateSteady whether the sender reaches the state store steadily
+ * @param stateSteady whether the sender steadily reaches the state service
  * @param observations the newest messages that controllers have received of each other
- * @param zones how well the workers of each zone are reached
- * @param contacts how many workers of other controllers' shards have reported to the sender
- * @param offers the shards that the sender offers
+ * @param zones how well the sender reaches the workers of each zone
+ * @param contacts the numbers of workers of other controllers' shards that have reported to the
+ *     sender
+ * @param offers the shards that the sender offers or has relinquished
  * @param accepts the offers that the sender accepts
  */
 public record PeerReachability(
@@ -29,23 +32,23 @@
   public record Observation(
       String observer, String subject, long processStartMicros, long sequence) {}
 
-  /** How well the workers of a zone are reached, from 0 to 100. */
+  /** How well the sender reaches the workers of a zone, from 0 to 100. */
   public record ZoneReachability(String zone, int percent) {}
 
-  /** How many workers of a shard of another controller have reported to the sender of late. */
+  /** The number of workers of another controller's shard that recently reported to the sender. */
   public record ShardContact(int shard, int workers) {}
 
   /**
-   * A shard that its owner, in one life of its process, can't use, offered to one controller under
-   * every term up to the given one. Once {@code relinquished}, the owner does nothing more under
-   * any of these.
+   * An offer to one controller of a shard that the owner, in the given incarnation, can't serve.
+   * The shard is offered under every term up to the given one. Once it is {@code relinquished}, the
+   * owner takes no further action under any of these terms.
    */
   public record ShardOffer(
       int shard, long incarnation, long term, String to, boolean relinquished) {}
 
-  /** An offer that its receiver can make use of. */
+  /** The acceptance of an offer by its receiver, which can take the shard over. */
   public record ShardAccept(int shard, long term, String from) {}
 
-  /** The most entries of each list, so that a message stays below a connection's limit. */
+  /** Maximum number of entries of each list, which keeps a message below a connection's limit. */
   public static final int MAX_ENTRIES = 400;
 }
--- a/src/main/java/gladeknot/peer/PeerReachabilityCodec.java
+++ b/src/main/java/gladeknot/peer/PeerReachabilityCodec.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The binary form of a {@link PeerReachability}: each list with its length before it. */
+/** The binary encoding of a {@link PeerReachability}; each list is preceded by its length. */
 final class PeerReachabilityCodec {
   private static final int MAX_PERCENT = 100;
 
@@ -29,7 +29,7 @@
     out.writeLong(reachability.processStartMicros());
     out.writeLong(reachability.sequence());
     out.writeBoolean(reachability.stateSteady());
-    writeList(reachability.observations(), out, heard -> write(heard, out));
+    writeList(reachability.observations(), out, observation -> write(observation, out));
     writeList(reachability.zones(), out, zone -> write(zone, out));
     writeList(reachability.contacts(), out, contact -> write(contact, out));
     writeList(reachability.offers(), out, offer -> write(offer, out));
@@ -44,11 +44,11 @@
     }
   }
 
-  private static void write(Observation heard, DataOutputStream out) throws IOException {
-    out.writeUTF(heard.observer());
-    out.writeUTF(heard.subject());
-    out.writeLong(heard.processStartMicros());
-    out.writeLong(heard.sequence());
+  private static void write(Observation observation, DataOutputStream out) throws IOException {
+    out.writeUTF(observation.observer());
+    out.writeUTF(observation.subject());
+    out.writeLong(observation.processStartMicros());
+    out.writeLong(observation.sequence());
   }
 
   private static void write(ZoneReachability zone, DataOutputStream out) throws IOException {
@@ -75,15 +75,15 @@
     out.writeUTF(accept.from());
   }
 
-  /** Reads what a controller reaches; fails with IOException when a value is out of its range. */
+  /** Reads a controller's reachability; throws an IOException if a value is out of range. */
   static PeerReachability read(DataInputStream in) throws IOException {
-    // Arguments are evaluated from first to last, as they were written.
+    // Java evaluates arguments from left to right, which is the order of encoding.
     PeerReachability reachability =
         new PeerReachability(
             in.readLong(),
             in.readLong(),
             in.readBoolean(),
-            readList(in, () -> readHeard(in)),
+            readList(in, () -> readObservation(in)),
             readList(in, () -> new ZoneReachability(in.readUTF(), in.readInt())),
             readList(in, () -> new ShardContact(in.readInt(), in.readInt())),
             readList(in, () -> readOffer(in)),
@@ -107,7 +107,7 @@
     return list;
   }
 
-  private static Observation readHeard(DataInputStream in) throws IOException {
+  private static Observation readObservation(DataInputStream in) throws IOException {
     return new Observation(in.readUTF(), in.readUTF(), in.readLong(), in.readLong());
   }
 
--- a/src/main/java/gladeknot/peer/package-info.java
+++ b/src/main/java/gladeknot/peer/package-info.java
@@ -1,11 +1,11 @@
 /**
  * Messages between controllers.
  *
- * <p>{@link gladeknot.peer.PeerMessage} is what one controller says to the others, {@code
- * PeerMessageCodec} its binary form, and {@link gladeknot.peer.PeerLinks} the connections, which
- * are the package's only state. Messages may be lost, repeated or late: nothing that has to be
- * right may depend on them.
+ * <p>{@link gladeknot.peer.PeerMessage} is a message of one controller to the others, {@code
+ * PeerMessageCodec} its binary encoding, and {@link gladeknot.peer.PeerLinks} the connections,
+ * which are the package's only state. Messages may be lost, duplicated or delayed, so correctness
+ * must not depend on them.
  *
- * <p>Uses {@code settings} and Netty alone.
+ * <p>Uses only {@code settings} and Netty.
  */
 package gladeknot.peer;
