--- a/src/test/java/gladeknot/connectivity/AuthorityTest.java
+++ b/src/test/java/gladeknot/connectivity/AuthorityTest.java
@@ -9,36 +9,35 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The table of authority: which kinds of orders stop when one thing does not hold. */
+/** The table of authority: the kinds of action that are forbidden when one requirement is unmet. */
 class AuthorityTest {
   private static final Set<ControlAction> ALL = EnumSet.allOf(ControlAction.class);
 
-  /** Facts of which one does not hold. */
-  private record AllExcept(Requirement missing)
-      implements Authority.ShardFacts, Authority.StateLink {
+  /** Facts that meet all requirements but one. */
+  private record AllExcept(Requirement unmet) implements Authority.ShardFacts, Authority.StateLink {
     @Override
     public boolean leaseHolds(int shard) {
-      return missing != Requirement.LEASE;
+      return unmet != Requirement.LEASE;
     }
 
     @Override
     public boolean inDoubt(int shard) {
-      return missing == Requirement.SETTLED;
+      return unmet == Requirement.SETTLED;
     }
 
     @Override
     public boolean cacheLoaded() {
-      return missing != Requirement.CACHE_LOADED;
+      return unmet != Requirement.CACHE_LOADED;
     }
 
     @Override
     public boolean cacheFresh() {
-      return missing != Requirement.CACHE_FRESH;
+      return unmet != Requirement.CACHE_FRESH;
     }
 
     @Override
     public boolean usable() {
-      return missing != Requirement.STATE_LINK;
+      return unmet != Requirement.STATE_LINK;
     }
 
     @Override
@@ -47,8 +46,8 @@
     }
   }
 
-  private static Set<ControlAction> permitted(Requirement missing) {
-    AllExcept facts = new AllExcept(missing);
+  private static Set<ControlAction> permitted(Requirement unmet) {
+    AllExcept facts = new AllExcept(unmet);
     Authority authority = new Authority(facts, facts);
     EnumSet<ControlAction> permitted = EnumSet.noneOf(ControlAction.class);
     ALL.stream().filter(kind -> authority.permits(kind, 0)).forEach(permitted::add);
@@ -60,8 +59,8 @@
   }
 
   @Test
-  void whatIsMissingStopsItsOrdersAndNoOthers() {
-    ControlAction[] committed = {
+  void unmetRequirementForbidsOnlyItsActions() {
+    ControlAction[] committing = {
       ControlAction.SCHEDULE,
       ControlAction.COMMIT,
       ControlAction.SCALE_OUT,
@@ -69,14 +68,14 @@
       ControlAction.CHANGE_QUOTA
     };
     assertEquals(ALL, permitted(null));
-    assertEquals(allExcept(committed), permitted(Requirement.SETTLED));
-    assertEquals(allExcept(committed), permitted(Requirement.CACHE_LOADED));
+    assertEquals(allExcept(committing), permitted(Requirement.SETTLED));
+    assertEquals(allExcept(committing), permitted(Requirement.CACHE_LOADED));
     assertEquals(allExcept(ControlAction.SEND_RUN), permitted(Requirement.CACHE_FRESH));
     assertEquals(
         Set.of(
             ControlAction.KILL_CANCELLED, ControlAction.TRANSFER_SHARD, ControlAction.ANSWER_USER),
         permitted(Requirement.LEASE));
-    // What keeps tasks alive, and what ends them, does not depend on links.
+    // Actions that keep tasks alive or end them do not depend on links.
     assertEquals(
         Set.of(
             ControlAction.COMMIT,
@@ -88,7 +87,7 @@
   }
 
   @Test
-  void levelAndCauseSayWhatIsMissing() {
+  void levelAndCauseShowUnmetRequirement() {
     Map<Requirement, AuthorityLevel> levels =
         Map.of(
             Requirement.LEASE, AuthorityLevel.RELINQUISHED,
@@ -96,11 +95,11 @@
             Requirement.CACHE_LOADED, AuthorityLevel.NO_NEW_ORDERS,
             Requirement.CACHE_FRESH, AuthorityLevel.NO_NEW_ORDERS,
             Requirement.STATE_LINK, AuthorityLevel.NO_NEW_ORDERS);
-    for (Requirement missing : Requirement.values()) {
-      AllExcept facts = new AllExcept(missing);
+    for (Requirement unmet : Requirement.values()) {
+      AllExcept facts = new AllExcept(unmet);
       Authority authority = new Authority(facts, facts);
-      assertEquals(levels.get(missing), authority.level(0), missing.name());
-      assertTrue(authority.cause(0).startsWith(missing.unmetMessage()), authority.cause(0));
+      assertEquals(levels.get(unmet), authority.level(0), unmet.name());
+      assertTrue(authority.cause(0).startsWith(unmet.unmetMessage()), authority.cause(0));
     }
     AllExcept link = new AllExcept(Requirement.STATE_LINK);
     assertTrue(new Authority(link, link).refusal().contains("state inbound unreachable for 5 s"));
--- a/src/test/java/gladeknot/connectivity/FailoverOffersTest.java
+++ b/src/test/java/gladeknot/connectivity/FailoverOffersTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What counts as a change of owner, and holds offers up for a while. */
+/** Which changes of a shard suppress offers as flapping, and for how long. */
 class FailoverOffersTest {
   private static final long SECOND = 1_000_000;
 
@@ -69,15 +69,15 @@
   }
 
   private static void tick(FailoverOffers offers, long second) {
-    offers.tick(second * SECOND, (shard, leftOut) -> Optional.empty());
+    offers.tick(second * SECOND, (shard, excluded) -> Optional.empty());
   }
 
   /**
-   * An owner whose transactions get no answer makes the term new each time: counted as flapping,
-   * that kept its shard from being taken just when it was cut off.
+   * Guards against counting new terms as flapping. An owner whose transactions get no answer draws
+   * new terms; counting them blocked the failover of its shard exactly when it was partitioned.
    */
   @Test
-  void newTermsOfOneOwnerAreNoFlapping() {
+  void newTermsOfSameOwnerAreNotSuppressed() {
     FailoverOffers offers = offers();
     for (int second = 1; second <= 6; second++) {
       term++;
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void ownersThatChangeAreDampedForAWhile() {
+  void frequentOwnerChangesAreSuppressedTemporarily() {
     FailoverOffers offers = offers();
     for (int second = 1; second <= 4; second++) {
       tick(offers, second);
--- a/src/test/java/gladeknot/connectivity/LinkVerdictTest.java
+++ b/src/test/java/gladeknot/connectivity/LinkVerdictTest.java
@@ -14,109 +14,111 @@
 
 /** Direction verdicts, flap damping and owner selection, each with explicit times. */
 class LinkVerdictTest {
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
   private static final DirectionHealth.Limits LIMITS =
-      new DirectionHealth.Limits(SECOND, 4 * SECOND, 5 * SECOND);
+      new DirectionHealth.Limits(SECOND_MICROS, 4 * SECOND_MICROS, 5 * SECOND_MICROS);
   private static final FlapDamping.Limits DAMPING =
-      new FlapDamping.Limits(1000, 2000, 800, 30 * SECOND, 60 * SECOND);
+      new FlapDamping.Limits(1000, 2000, 800, 30 * SECOND_MICROS, 60 * SECOND_MICROS);
 
-  private static Verdict after(DirectionHealth health, double seconds) {
-    health.update((long) (seconds * SECOND));
+  private static Verdict verdictAt(DirectionHealth health, double seconds) {
+    health.update((long) (seconds * SECOND_MICROS));
     return health.verdict();
   }
 
-  private static long at(double seconds) {
-    return (long) (seconds * SECOND);
+  private static long micros(double seconds) {
+    return (long) (seconds * SECOND_MICROS);
   }
 
   @Test
-  void aDirectionGoesThroughItsVerdictsInOrder() {
+  void verdictFollowsProvenAndOverdueMessages() {
     DirectionHealth health = new DirectionHealth(LIMITS, DAMPING);
-    assertEquals(Verdict.UNKNOWN, after(health, 1));
-    health.recordProven(at(1));
-    assertEquals(Verdict.REACHABLE, after(health, 1));
-    health.recordOverdue(at(2));
-    assertEquals(Verdict.REACHABLE, after(health, 2.9));
-    assertEquals(Verdict.SUSPECT, after(health, 3.1));
-    assertEquals(Verdict.UNREACHABLE, after(health, 6.1));
-    health.recordProven(at(7));
-    assertEquals(Verdict.PROBATION, after(health, 7.1));
-    assertEquals(Verdict.PROBATION, after(health, 12));
-    assertEquals(Verdict.REACHABLE, after(health, 12.2));
+    assertEquals(Verdict.UNKNOWN, verdictAt(health, 1));
+    health.recordProven(micros(1));
+    assertEquals(Verdict.REACHABLE, verdictAt(health, 1));
+    health.recordOverdue(micros(2));
+    assertEquals(Verdict.REACHABLE, verdictAt(health, 2.9));
+    assertEquals(Verdict.SUSPECT, verdictAt(health, 3.1));
+    assertEquals(Verdict.UNREACHABLE, verdictAt(health, 6.1));
+    health.recordProven(micros(7));
+    assertEquals(Verdict.PROBATION, verdictAt(health, 7.1));
+    assertEquals(Verdict.PROBATION, verdictAt(health, 12));
+    assertEquals(Verdict.REACHABLE, verdictAt(health, 12.2));
   }
 
   @Test
-  void evidenceCountsByWhenItWasSent() {
+  void evidenceIsOrderedBySendTime() {
     DirectionHealth health = new DirectionHealth(LIMITS, DAMPING);
-    health.recordProven(at(5));
-    health.recordOverdue(at(4));
-    assertEquals(Verdict.REACHABLE, after(health, 30));
-    health.recordOverdue(at(31));
-    health.recordProven(at(30.5));
-    assertEquals(Verdict.UNREACHABLE, after(health, 36));
+    health.recordProven(micros(5));
+    health.recordOverdue(micros(4));
+    assertEquals(Verdict.REACHABLE, verdictAt(health, 30));
+    health.recordOverdue(micros(31));
+    health.recordProven(micros(30.5));
+    assertEquals(Verdict.UNREACHABLE, verdictAt(health, 36));
   }
 
   @Test
-  void aDirectionThatFlapsStaysOnProbationAndComesBackInTime() {
+  void flappingDirectionStaysOnProbationUntilSuppressionEnds() {
     DirectionHealth health = new DirectionHealth(LIMITS, DAMPING);
-    double start = 0;
+    double startSeconds = 0;
     for (int i = 0; i < 20; i++) {
-      health.recordOverdue(at(start + 0.1));
-      after(health, start + 4.5);
-      health.recordProven(at(start + 5));
-      after(health, start + 5);
-      after(health, start + 9.9);
-      start += 10;
+      health.recordOverdue(micros(startSeconds + 0.1));
+      verdictAt(health, startSeconds + 4.5);
+      health.recordProven(micros(startSeconds + 5));
+      verdictAt(health, startSeconds + 5);
+      verdictAt(health, startSeconds + 9.9);
+      startSeconds += 10;
       assertTrue(i < 3 || health.verdict() == Verdict.PROBATION);
     }
-    health.recordProven(at(start));
-    assertEquals(Verdict.PROBATION, after(health, start + 30));
-    // Longest suppression, and the probation.
-    assertEquals(Verdict.REACHABLE, after(health, start + 66));
+    health.recordProven(micros(startSeconds));
+    assertEquals(Verdict.PROBATION, verdictAt(health, startSeconds + 30));
+    // The longest suppression is 60 s and the probation 5 s.
+    assertEquals(Verdict.REACHABLE, verdictAt(health, startSeconds + 66));
   }
 
   @Test
-  void aPenaltyIsBoundedAndDecays() {
+  void penaltyIsBoundedAndDecays() {
     FlapDamping damping = new FlapDamping(DAMPING);
     damping.recordChange(0);
     assertFalse(damping.suppressed(0));
     for (int i = 0; i < 100; i++) {
-      damping.recordChange(at(i * 0.1));
+      damping.recordChange(micros(i * 0.1));
     }
-    assertTrue(damping.suppressed(at(10)));
-    assertEquals(3200, damping.penalty(at(9.9)), 1);
-    assertTrue(damping.suppressed(at(69)));
-    assertFalse(damping.suppressed(at(71)));
+    assertTrue(damping.suppressed(micros(10)));
+    assertEquals(3200, damping.penalty(micros(9.9)), 1);
+    assertTrue(damping.suppressed(micros(69)));
+    assertFalse(damping.suppressed(micros(71)));
   }
 
   @Test
-  void theOwnerIsChosenByReachThenHomeThenRing() {
-    record Case(String chosen, int least, List<Candidate> candidates) {}
+  void ownerIsSelectedByReachabilityThenHomeThenRing() {
+    record Case(String expected, int minPercent, List<Candidate> candidates) {}
 
     List<Case> cases =
         List.of(
-            new Case("b", 0, List.of(new Candidate("a", false, 100, 0), steady("b", 50, 1))),
-            new Case("a", 0, List.of(steady("a", 100, 0), steady("b", 100, 1))),
-            new Case("b", 0, List.of(steady("a", 60, 0), steady("b", 80, 1))),
-            new Case("a", 0, List.of(steady("a", 76, 0), steady("b", 99, 1))),
-            new Case("c", 0, List.of(steady("c", 90, 2), steady("d", 90, 3))),
-            new Case("", 0, List.of(steady("a", 10, 0))),
-            new Case("", 60, List.of(steady("a", 50, 0))),
+            new Case(
+                "b", 0, List.of(new Candidate("a", false, 100, 0), steadyCandidate("b", 50, 1))),
+            new Case("a", 0, List.of(steadyCandidate("a", 100, 0), steadyCandidate("b", 100, 1))),
+            new Case("b", 0, List.of(steadyCandidate("a", 60, 0), steadyCandidate("b", 80, 1))),
+            new Case("a", 0, List.of(steadyCandidate("a", 76, 0), steadyCandidate("b", 99, 1))),
+            new Case("c", 0, List.of(steadyCandidate("c", 90, 2), steadyCandidate("d", 90, 3))),
+            new Case("", 0, List.of(steadyCandidate("a", 10, 0))),
+            new Case("", 60, List.of(steadyCandidate("a", 50, 0))),
             new Case("", 0, List.of()));
     for (Case testCase : cases) {
       Optional<String> best =
-          OwnerSelector.best(testCase.candidates(), testCase.least()).map(Candidate::node);
-      assertEquals(testCase.chosen(), best.orElse(""), testCase.toString());
+          OwnerSelector.best(testCase.candidates(), testCase.minPercent()).map(Candidate::node);
+      assertEquals(testCase.expected(), best.orElse(""), testCase.toString());
     }
-    assertEquals(Optional.empty(), OwnerSelector.betterThan(List.of(steady("a", 60, 0)), 50));
+    assertEquals(
+        Optional.empty(), OwnerSelector.betterThan(List.of(steadyCandidate("a", 60, 0)), 50));
   }
 
-  private static Candidate steady(String node, int percent, int distance) {
+  private static Candidate steadyCandidate(String node, int percent, int distance) {
     return new Candidate(node, true, percent, distance);
   }
 
   @Test
-  void reachIsTheMeanOverWorkersOrTheShareThatReported() {
+  void scoreIsMeanOverWorkersOrShareThatReported() {
     List<ZoneReachability> zones =
         List.of(new ZoneReachability("a", 100), new ZoneReachability("b", 0));
     Map<String, Integer> workers = Map.of("a", 1, "b", 3);
--- a/src/test/java/gladeknot/connectivity/PartialCutsPropertiesTest.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsPropertiesTest.java
@@ -18,8 +18,8 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Random schedules of link faults in single directions against the simulated cluster and its
- * invariant checkers. A failing schedule is shrunk and then belongs in {@link PartialCutsTest}.
+ * Runs random schedules of link faults in single directions against the simulated cluster and its
+ * invariant checkers. Add a failing schedule, once shrunk, as a case to {@link PartialCutsTest}.
  */
 class PartialCutsPropertiesTest {
   private static final int NODES = 3;
@@ -37,16 +37,16 @@
     RESTART,
     LOSE_COMMIT_RESPONSE,
     LATE_WRITES,
-    PUNCTUAL_WRITES,
+    TIMELY_WRITES,
     SLOW_PEERS,
     FAST_PEERS,
     HEAL_ALL,
     CANCEL
   }
 
-  /** One step, and how many tenths of a second pass after it. */
+  /** A step, with the time that passes after it in tenths of a second. */
   record Step(Action action, int node, int other, Direction direction, int tenths) {
-    void play(SimulatedCluster cluster) {
+    void apply(SimulatedCluster cluster) {
       switch (action) {
         case DROP_DIRECTION -> cluster.faults().links().setDropped(node, direction, true);
         case DELIVER_DIRECTION -> cluster.faults().links().setDropped(node, direction, false);
@@ -56,7 +56,7 @@
         case ACCEPT_STATE -> cluster.faults().rejectStateCalls(node, false);
         case LOSE_COMMIT_RESPONSE -> cluster.faults().loseOneMoreCommitResponse();
         case LATE_WRITES -> cluster.faults().lateCommitShare(0.3);
-        case PUNCTUAL_WRITES -> cluster.faults().lateCommitShare(0);
+        case TIMELY_WRITES -> cluster.faults().lateCommitShare(0);
         case SLOW_PEERS -> cluster.faults().delayPeerMessages(tenths * SECOND / 2);
         case FAST_PEERS -> cluster.faults().delayPeerMessages(0);
         case HEAL_ALL -> cluster.faults().links().heal();
@@ -73,11 +73,11 @@
 
   @Provide
   Arbitrary<List<Step>> schedules() {
-    return drawn();
+    return scheduleArbitrary();
   }
 
-  /** Generates schedules of a few steps. */
-  static Arbitrary<List<Step>> drawn() {
+  /** Generates schedules of 1 to {@link #MAX_STEPS} steps. */
+  static Arbitrary<List<Step>> scheduleArbitrary() {
     return Combinators.combine(
             Arbitraries.of(Action.class),
             Arbitraries.integers().between(0, NODES - 1),
@@ -91,12 +91,12 @@
   }
 
   @Property(tries = 12, seed = "20261202", shrinking = ShrinkingMode.BOUNDED)
-  void noScheduleBreaksARule(@ForAll("schedules") List<Step> schedule) {
-    play(schedule, schedule.size());
+  void noScheduleViolatesInvariants(@ForAll("schedules") List<Step> schedule) {
+    runSchedule(schedule, schedule.size());
   }
 
-  /** Plays a schedule, removes all faults, and checks invariants and the outcome of each job. */
-  static void play(List<Step> schedule, long seed) {
+  /** Runs a schedule, removes all faults, and checks the invariants and the phases of jobs. */
+  static void runSchedule(List<Step> schedule, long seed) {
     SimulatedCluster cluster =
         new SimulatedCluster(
             NODES, schedule.size(), ClusterScale.SMALL, FeatureSettings.partialCuts());
@@ -106,7 +106,7 @@
     cluster.submit(1, TestJobs.job("req-web", "service", 4));
     cluster.submit(2, TestJobs.job("req-cut", "service", 4));
     cluster.run(12 * SECOND);
-    schedule.forEach(step -> step.play(cluster));
+    schedule.forEach(step -> step.apply(cluster));
     cluster.faults().links().heal();
     cluster.faults().lateCommitShare(0);
     cluster.faults().delayPeerMessages(0);
--- a/src/test/java/gladeknot/connectivity/PartialCutsSoak.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsSoak.java
@@ -9,15 +9,16 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * The properties of {@link PartialCutsPropertiesTest} on many more schedules with new seeds in each
- * run; too long for CI, whose name pattern excludes it: {@code mvn test -Dtest=PartialCutsSoak}.
+ * Checks the properties of {@link PartialCutsPropertiesTest} on many more schedules, with new seeds
+ * in each run. It takes too long for CI, whose name pattern excludes it; run it with {@code mvn
+ * test -Dtest=PartialCutsSoak}.
  */
 class PartialCutsSoak {
   private static final int MAX_SEED = 1_000_000;
 
   @Provide
   Arbitrary<List<PartialCutsPropertiesTest.Step>> schedules() {
-    return PartialCutsPropertiesTest.drawn();
+    return PartialCutsPropertiesTest.scheduleArbitrary();
   }
 
   @Provide
@@ -26,9 +27,9 @@
   }
 
   @Property(tries = 300, shrinking = ShrinkingMode.BOUNDED)
-  void noScheduleBreaksARule(
+  void noScheduleViolatesInvariants(
       @ForAll("schedules") List<PartialCutsPropertiesTest.Step> schedule,
       @ForAll("seeds") int seed) {
-    PartialCutsPropertiesTest.play(schedule, seed);
+    PartialCutsPropertiesTest.runSchedule(schedule, seed);
   }
 }
--- a/src/test/java/gladeknot/connectivity/PartialCutsTest.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsTest.java
@@ -21,14 +21,14 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Partial partitions around three controllers: no invariant breaks while users keep polling, and
- * after the faults are removed nothing is forgotten or left waiting, and every job ends.
+ * Partial partitions around three controllers: no invariant is violated while users keep polling.
+ * After the faults are removed, nothing is lost or left pending and every job completes.
  */
 class PartialCutsTest {
-  private static final long LEASE = ClusterSettings.LEASE;
-  private static final long CANCEL = ClusterSettings.CANCEL;
+  private static final long LEASE_MICROS = ClusterSettings.LEASE;
+  private static final long CANCEL_MICROS = ClusterSettings.CANCEL;
 
-  private static final int MAX_STARTED_AGAIN = 10;
+  private static final int MAX_REPEATED_STARTS = 10;
 
   private record Case(String name, long seed, Consumer<SimulatedCluster> faults) {}
 
@@ -45,23 +45,23 @@
     for (Direction direction : Direction.values()) {
       cases.add(
           new Case(
-              "one way: " + direction,
+              "one direction dropped: " + direction,
               100 + direction.ordinal(),
-              cluster -> oneWay(cluster, direction)));
+              cluster -> dropDirection(cluster, direction)));
     }
     cases.add(
         new Case(
-            "state lost: dropped", 110, cluster -> cutFor(cluster, Direction.STATE_REQUESTS, 40)));
-    cases.add(new Case("state lost: refused", 111, PartialCutsTest::connectionsRefused));
-    cases.add(new Case("state lost: 503 to one alone", 112, PartialCutsTest::refusedAlone));
-    cases.add(new Case("state slow to beyond a lease", 113, PartialCutsTest::slowState));
-    cases.add(new Case("workers lost, state reached", 114, PartialCutsTest::workersLost));
-    cases.add(new Case("peers lost alone", 115, PartialCutsTest::peersLost));
-    cases.add(new Case("one peer receives nothing of another", 116, PartialCutsTest::peersOneWay));
+            "state requests lost", 110, cluster -> dropFor(cluster, Direction.STATE_REQUESTS, 40)));
+    cases.add(new Case("state connections refused", 111, PartialCutsTest::connectionsRefused));
+    cases.add(new Case("state answers 503 to one controller", 112, PartialCutsTest::callsRejected));
+    cases.add(new Case("state service slower than a lease", 113, PartialCutsTest::slowState));
+    cases.add(new Case("only workers unreachable", 114, PartialCutsTest::workersUnreachable));
+    cases.add(new Case("peers unreachable", 115, PartialCutsTest::peersUnreachable));
+    cases.add(new Case("one peer direction dropped", 116, PartialCutsTest::peerDirectionDropped));
     for (long periodMillis : new long[] {300, 1000, 4000, 8000, 10000}) {
       cases.add(
           new Case(
-              "state flaps every " + periodMillis + " ms",
+              "state answers flap every " + periodMillis + " ms",
               120 + periodMillis,
               cluster -> flap(cluster, Direction.STATE_ANSWERS, periodMillis * 1000)));
     }
@@ -75,25 +75,26 @@
 
   private static List<Case> combinedCases() {
     List<Case> cases = new ArrayList<>();
-    cases.add(new Case("two cut from different things", 131, PartialCutsTest::twoCut));
-    cases.add(new Case("the taker is cut while it takes", 132, PartialCutsTest::takerCut));
-    cases.add(new Case("the owner is back in mid-take-over", 133, PartialCutsTest::ownerBack));
-    cases.add(new Case("a restart in the same second", 134, PartialCutsTest::restarted));
-    cases.add(new Case("a lost answer, a cut, a cancellation", 135, PartialCutsTest::cancelled));
-    cases.add(new Case("cut from half of the workers", 136, PartialCutsTest::halfCut));
-    cases.add(new Case("cut from one zone", 137, PartialCutsTest::zoneCut));
-    cases.add(new Case("late copies of reports through the cut", 138, PartialCutsTest::copies));
-    cases.add(new Case("much work beside a long cut", 139, PartialCutsTest::longCut));
+    cases.add(new Case("two controllers partitioned", 131, PartialCutsTest::twoPartitioned));
+    cases.add(new Case("successor partitioned", 132, PartialCutsTest::successorPartitioned));
+    cases.add(new Case("owner returns during failover", 133, PartialCutsTest::ownerReturns));
+    cases.add(new Case("owner restarts during failover", 134, PartialCutsTest::ownerRestarts));
+    cases.add(new Case("cancellation after lost responses", 135, PartialCutsTest::cancellation));
+    cases.add(new Case("half of the workers unreachable", 136, PartialCutsTest::halfUnreachable));
+    cases.add(new Case("partition from one zone", 137, PartialCutsTest::zonePartitioned));
+    cases.add(
+        new Case("duplicate, delayed heartbeats", 138, PartialCutsTest::heartbeatsDuplicated));
+    cases.add(new Case("many jobs during a long partition", 139, PartialCutsTest::longPartition));
     cases.add(new Case("state answers and peers lost", 141, PartialCutsTest::answersAndPeersLost));
-    cases.add(new Case("a long cut of answers to reports", 142, PartialCutsTest::answersLostLong));
-    cases.add(new Case("beside the version before", 143, PartialCutsTest::besideOldVersion));
-    cases.add(new Case("beside one without the feature", 144, PartialCutsTest::besideOneWithout));
-    cases.add(new Case("records between controllers come late", 145, PartialCutsTest::latePeers));
-    cases.add(new Case("the state service is out for all", 140, PartialCutsTest::outage));
+    cases.add(new Case("report answers lost for 300 s", 142, PartialCutsTest::reportAnswersLost));
+    cases.add(new Case("peers of previous version", 143, PartialCutsTest::peersOfPreviousVersion));
+    cases.add(new Case("one peer without the feature", 144, PartialCutsTest::peerWithoutFeature));
+    cases.add(new Case("peer messages delayed", 145, PartialCutsTest::peerMessagesDelayed));
+    cases.add(new Case("state service outage", 140, PartialCutsTest::stateOutage));
     return cases;
   }
 
-  private static void oneWay(SimulatedCluster cluster, Direction direction) {
+  private static void dropDirection(SimulatedCluster cluster, Direction direction) {
     cluster.faults().links().setDropped(0, direction, true);
     cluster.run(SECOND);
     cluster.cancel(1, "req-cut");
@@ -101,7 +102,7 @@
     cluster.faults().links().setDropped(0, direction, false);
   }
 
-  private static void cutFor(SimulatedCluster cluster, Direction direction, int seconds) {
+  private static void dropFor(SimulatedCluster cluster, Direction direction, int seconds) {
     cluster.faults().links().setDropped(0, direction, true);
     cluster.run(seconds * SECOND);
     cluster.faults().links().setDropped(0, direction, false);
@@ -115,7 +116,7 @@
     cluster.faults().links().setRefused(0, false);
   }
 
-  private static void refusedAlone(SimulatedCluster cluster) {
+  private static void callsRejected(SimulatedCluster cluster) {
     cluster.faults().rejectStateCalls(0, true);
     cluster.run(SECOND);
     cluster.cancel(1, "req-cut");
@@ -124,12 +125,12 @@
   }
 
   private static void slowState(SimulatedCluster cluster) {
-    cluster.faults().delayStateCalls(LEASE + SECOND);
+    cluster.faults().delayStateCalls(LEASE_MICROS + SECOND);
     cluster.run(30 * SECOND);
     cluster.faults().delayStateCalls(0);
   }
 
-  private static void workersLost(SimulatedCluster cluster) {
+  private static void workersUnreachable(SimulatedCluster cluster) {
     cluster.faults().disconnectFromWorkers(0, true);
     cluster.run(2 * SECOND);
     cluster.cancel(1, "req-cut");
@@ -137,13 +138,13 @@
     cluster.faults().disconnectFromWorkers(0, false);
   }
 
-  private static void peersLost(SimulatedCluster cluster) {
+  private static void peersUnreachable(SimulatedCluster cluster) {
     cluster.faults().disconnectFromPeers(0, true);
     cluster.run(40 * SECOND);
     cluster.faults().disconnectFromPeers(0, false);
   }
 
-  private static void peersOneWay(SimulatedCluster cluster) {
+  private static void peerDirectionDropped(SimulatedCluster cluster) {
     cluster.faults().links().setPeerDropped(1, 0, true);
     cluster.run(10 * SECOND);
     cluster.faults().links().setDropped(0, Direction.STATE_REQUESTS, true);
@@ -160,7 +161,7 @@
     }
   }
 
-  private static void twoCut(SimulatedCluster cluster) {
+  private static void twoPartitioned(SimulatedCluster cluster) {
     cluster.faults().links().setDropped(0, Direction.STATE_ANSWERS, true);
     cluster.faults().disconnectFromWorkers(1, true);
     cluster.run(SECOND);
@@ -170,7 +171,7 @@
     cluster.faults().disconnectFromWorkers(1, false);
   }
 
-  private static void takerCut(SimulatedCluster cluster) {
+  private static void successorPartitioned(SimulatedCluster cluster) {
     cluster.faults().links().setDropped(0, Direction.STATE_REQUESTS, true);
     for (int i = 0; i < 80 && "node-0".equals(cluster.owner(0)); i++) {
       cluster.run(SECOND / 10);
@@ -183,7 +184,7 @@
     cluster.faults().links().heal();
   }
 
-  private static void ownerBack(SimulatedCluster cluster) {
+  private static void ownerReturns(SimulatedCluster cluster) {
     for (int i = 0; i < 24; i++) {
       cluster.faults().loseCommitResponses(i % 2);
       cluster.faults().links().setDropped(0, Direction.STATE_ANSWERS, true);
@@ -193,7 +194,7 @@
     }
   }
 
-  private static void restarted(SimulatedCluster cluster) {
+  private static void ownerRestarts(SimulatedCluster cluster) {
     for (int i = 0; i < 24; i++) {
       cluster.faults().loseCommitResponses(i % 2);
       cluster.faults().links().setDropped(0, Direction.STATE_ANSWERS, true);
@@ -206,18 +207,18 @@
     }
   }
 
-  private static void cancelled(SimulatedCluster cluster) {
+  private static void cancellation(SimulatedCluster cluster) {
     cluster.submit(0, TestJobs.job("req-new", "array", 8));
     cluster.faults().loseCommitResponses(2);
     cluster.run(SECOND);
     cluster.faults().links().setDropped(0, Direction.STATE_ANSWERS, true);
     cluster.run(200_000);
     cluster.cancel(1, "req-cut");
-    cluster.run(CANCEL + 10 * SECOND);
+    cluster.run(CANCEL_MICROS + 10 * SECOND);
     cluster.faults().links().heal();
   }
 
-  private static void halfCut(SimulatedCluster cluster) {
+  private static void halfUnreachable(SimulatedCluster cluster) {
     for (int i = 0; i < cluster.machineCount() / 2; i++) {
       cluster.machineFaults().dropResponses(2 * i, true);
     }
@@ -227,7 +228,7 @@
     }
   }
 
-  private static void zoneCut(SimulatedCluster cluster) {
+  private static void zonePartitioned(SimulatedCluster cluster) {
     cluster.faults().partitionZone("a", Set.of(1, 2));
     cluster.run(2 * SECOND);
     cluster.cancel(1, "req-cut");
@@ -235,7 +236,7 @@
     cluster.faults().healPartitions();
   }
 
-  private static void copies(SimulatedCluster cluster) {
+  private static void heartbeatsDuplicated(SimulatedCluster cluster) {
     cluster.faults().duplicateHeartbeats(true);
     cluster.faults().links().setDropped(0, Direction.STATE_ANSWERS, true);
     cluster.machineFaults().captureHeartbeats();
@@ -249,7 +250,7 @@
     cluster.faults().duplicateHeartbeats(false);
   }
 
-  private static void longCut(SimulatedCluster cluster) {
+  private static void longPartition(SimulatedCluster cluster) {
     cluster.faults().links().setDropped(0, Direction.STATE_REQUESTS, true);
     for (int i = 0; i < 10; i++) {
       cluster.submit(1 + i % 2, TestJobs.job("req-more" + i, "array", 12));
@@ -257,13 +258,13 @@
     }
     cluster.faults().links().heal();
     cluster.run(100 * SECOND);
-    // 40 + 3 + 4 + 5 and ten times 12 tasks: on return nothing is started that need not be.
+    // 40 + 3 + 4 + 5 + 10 * 12 tasks; once the partition heals, no needless attempts are started.
     int tasks = 172;
     assertTrue(cluster.starts() >= tasks, "starts: " + cluster.starts());
-    assertTrue(cluster.starts() <= tasks + MAX_STARTED_AGAIN, "starts: " + cluster.starts());
+    assertTrue(cluster.starts() <= tasks + MAX_REPEATED_STARTS, "starts: " + cluster.starts());
   }
 
-  /** Lease renewals still arrive: the shard moves only if its owner relinquishes it. */
+  /** Lease renewals still arrive, so the shard moves only if its owner relinquishes it. */
   private static void answersAndPeersLost(SimulatedCluster cluster) {
     cluster.faults().links().setDropped(0, Direction.STATE_ANSWERS, true);
     cluster.faults().disconnectFromPeers(0, true);
@@ -275,8 +276,8 @@
     cluster.faults().disconnectFromPeers(0, false);
   }
 
-  /** Direct commands arrive, so that the home shard's node looks reachable to every probe. */
-  private static void answersLostLong(SimulatedCluster cluster) {
+  /** Commands still arrive at workers, so every probe shows the shard's home as reachable. */
+  private static void reportAnswersLost(SimulatedCluster cluster) {
     long terms = cluster.terms();
     cluster.faults().links().setDropped(0, Direction.REPORT_ANSWERS, true);
     cluster.run(300 * SECOND);
@@ -285,9 +286,10 @@
   }
 
   /**
-   * The one controller with the feature is no better connected than the old ones: leases decide.
+   * Peers of the previous version send no reachability records, so the only controller with the
+   * feature has no candidate for its shard and leases alone decide.
    */
-  private static void besideOldVersion(SimulatedCluster cluster) {
+  private static void peersOfPreviousVersion(SimulatedCluster cluster) {
     for (int old : new int[] {1, 2}) {
       cluster.kill(old);
       cluster.useFeatures(old, Features.NONE);
@@ -303,7 +305,7 @@
     cluster.faults().links().heal();
   }
 
-  private static void besideOneWithout(SimulatedCluster cluster) {
+  private static void peerWithoutFeature(SimulatedCluster cluster) {
     cluster.kill(1);
     cluster.useFeatures(1, Features.NONE);
     cluster.start(1);
@@ -315,7 +317,7 @@
     cluster.faults().links().heal();
   }
 
-  private static void latePeers(SimulatedCluster cluster) {
+  private static void peerMessagesDelayed(SimulatedCluster cluster) {
     cluster.faults().links().setDropped(0, Direction.STATE_ANSWERS, true);
     cluster.run(4_500_000);
     cluster.faults().delayPeerMessages(15 * SECOND);
@@ -329,22 +331,22 @@
     cluster.faults().delayPeerMessages(0);
   }
 
-  private static void outage(SimulatedCluster cluster) {
+  private static void stateOutage(SimulatedCluster cluster) {
     cluster.faults().stateOutage(true);
     cluster.run(SECOND);
-    cluster.run(2 * CANCEL);
+    cluster.run(2 * CANCEL_MICROS);
     cluster.faults().stateOutage(false);
   }
 
-  private static final Features ON = FeatureSettings.partialCuts();
+  private static final Features FEATURES = FeatureSettings.partialCuts();
 
   @TestFactory
-  Stream<DynamicTest> noRuleBreaksAndNothingIsForgotten() {
+  Stream<DynamicTest> invariantsHoldAndJobsComplete() {
     return CASES.stream()
-        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase, ON)));
+        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> run(testCase, FEATURES)));
   }
 
-  private static void play(Case testCase, Features features) {
+  private static void run(Case testCase, Features features) {
     SimulatedCluster cluster =
         new SimulatedCluster(3, testCase.seed(), ClusterScale.SMALL, features);
     cluster.startPolling();
@@ -356,7 +358,7 @@
     cluster.run(15 * SECOND);
     testCase.faults().accept(cluster);
     cluster.expectRecovery();
-    for (int i = 0; i < 26 && (i < 10 || !ended(cluster)); i++) {
+    for (int i = 0; i < 26 && (i < 10 || !allJobsEnded(cluster)); i++) {
       cluster.run(10 * SECOND);
     }
     assertEquals(List.of(), cluster.violations());
@@ -368,7 +370,7 @@
     }
   }
 
-  private static boolean ended(SimulatedCluster cluster) {
+  private static boolean allJobsEnded(SimulatedCluster cluster) {
     return cluster.jobs().stream()
         .allMatch(
             id ->
--- a/src/test/java/gladeknot/peer/PeerMessageTest.java
+++ b/src/test/java/gladeknot/peer/PeerMessageTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class PeerMessageTest {
-  private static final PeerMessage HINT =
+  private static final PeerMessage DEFICITS =
       new PeerMessage(
           "node-1",
           2,
@@ -23,7 +23,7 @@
           List.of("req-a", "req-b"),
           Optional.empty());
 
-  private static final PeerMessage REACH =
+  private static final PeerMessage REACHABILITY =
       PeerMessage.ofReachability(
           "node-1",
           new PeerReachability(
@@ -37,15 +37,15 @@
               List.of(new PeerReachability.ShardAccept(2, 11, "node-0"))));
 
   @Test
-  void comesBackAsItWasSent() throws IOException {
-    assertEquals(HINT, PeerMessage.decode(HINT.encode()));
-    assertEquals(REACH, PeerMessage.decode(REACH.encode()));
+  void messageSurvivesRoundTrip() throws IOException {
+    assertEquals(DEFICITS, PeerMessage.decode(DEFICITS.encode()));
+    assertEquals(REACHABILITY, PeerMessage.decode(REACHABILITY.encode()));
   }
 
   @Test
-  void garbledRecordsAreRefused() {
-    refused(HINT.encode());
-    refused(REACH.encode());
+  void malformedRecordsAreRejected() {
+    assertMalformedRejected(DEFICITS.encode());
+    assertMalformedRejected(REACHABILITY.encode());
   }
 
   private static PeerReachability reachability(
@@ -57,12 +57,12 @@
         5, sequence, true, observations, zones, List.of(), offers, List.of());
   }
 
-  /** The values of a record are within their ranges, or it is refused whole. */
+  /** A record with any value out of range is rejected as a whole. */
   @Test
-  void valuesOutOfRangeAreRefused() {
+  void valuesOutOfRangeAreRejected() {
     Observation row = new Observation("node-1", "node-0", 4, 7);
     List<Observation> tooMany = Collections.nCopies(PeerReachability.MAX_ENTRIES + 1, row);
-    List<PeerReachability> wrong =
+    List<PeerReachability> invalid =
         List.of(
             reachability(0, List.of(), List.of(), List.of()),
             reachability(8, List.of(), List.of(new ZoneReachability("a", 101)), List.of()),
@@ -72,37 +72,38 @@
             reachability(
                 8, List.of(), List.of(), List.of(new ShardOffer(-1, 4, 9, "node-2", true))),
             reachability(8, tooMany, List.of(), List.of()));
-    for (PeerReachability reachability : wrong) {
+    for (PeerReachability reachability : invalid) {
       byte[] record = PeerMessage.ofReachability("node-1", reachability).encode();
       assertThrows(IOException.class, () -> PeerMessage.decode(record));
     }
   }
 
-  private static void refused(byte[] good) {
-    for (int length = 0; length < good.length; length++) {
-      byte[] cut = Arrays.copyOf(good, length);
-      assertThrows(IOException.class, () -> PeerMessage.decode(cut));
+  private static void assertMalformedRejected(byte[] encoded) {
+    for (int length = 0; length < encoded.length; length++) {
+      byte[] truncated = Arrays.copyOf(encoded, length);
+      assertThrows(IOException.class, () -> PeerMessage.decode(truncated));
     }
-    assertThrows(IOException.class, () -> PeerMessage.decode(Arrays.copyOf(good, good.length + 1)));
-    byte[] other = good.clone();
+    assertThrows(
+        IOException.class, () -> PeerMessage.decode(Arrays.copyOf(encoded, encoded.length + 1)));
+    byte[] other = encoded.clone();
     other[0] = 0;
     assertThrows(IOException.class, () -> PeerMessage.decode(other));
-    // Cut short, a later version's record is garbled as well.
-    for (int length = 0; length < good.length; length++) {
-      byte[] cut = Arrays.copyOf(good, length);
+    // A truncated record of a later version is malformed as well.
+    for (int length = 0; length < encoded.length; length++) {
+      byte[] truncated = Arrays.copyOf(encoded, length);
       if (length > 0) {
-        cut[0] = 9;
+        truncated[0] = 9;
       }
-      assertThrows(IOException.class, () -> PeerMessage.decode(cut));
+      assertThrows(IOException.class, () -> PeerMessage.decode(truncated));
     }
   }
 
-  /** Versions run side by side while one is brought in: a new field must not cut them apart. */
+  /** Versions run side by side during an upgrade, so a new field must not stop their messages. */
   @Test
-  void whatALaterVersionAddsAtTheEndIsLeft() throws IOException {
-    byte[] good = HINT.encode();
-    byte[] later = Arrays.copyOf(good, good.length + 5);
+  void fieldsAddedByLaterVersionAreIgnored() throws IOException {
+    byte[] encoded = DEFICITS.encode();
+    byte[] later = Arrays.copyOf(encoded, encoded.length + 5);
     later[0] = 9;
-    assertEquals(HINT, PeerMessage.decode(later));
+    assertEquals(DEFICITS, PeerMessage.decode(later));
   }
 }
