--- a/src/main/java/gladeknot/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/gladeknot/connectivity/ConnectivityMonitor.java
@@ -133,12 +133,12 @@
     }
   }
 
-  /** Handles that this controller has become the owner of a shard. */
+  /** Called when this controller has become the owner of a shard. */
   public void onAcquired(int shard) {
     advisor.onAcquired(shard);
   }
 
-  /** Handles that this controller is no longer the owner of a shard. */
+  /** Called when this controller is no longer the owner of a shard. */
   public void onReleased(int shard) {
     workers.onReleased(shard);
     canaryProbe.remove(shard);
--- a/src/main/java/gladeknot/connectivity/HeartbeatObserver.java
+++ b/src/main/java/gladeknot/connectivity/HeartbeatObserver.java
@@ -24,7 +24,7 @@
   /** Handles a heartbeat that is newer than all earlier ones of its worker. */
   void onHeartbeat(Arrival arrival);
 
-  /** Handles that a heartbeat of a worker of an owned shard is answered with 200. */
+  /** Called when a heartbeat of a worker of an owned shard is answered with 200. */
   void onAnswered(String host);
 
   /**
--- a/src/main/java/gladeknot/connectivity/ReachabilityFailoverAdvisor.java
+++ b/src/main/java/gladeknot/connectivity/ReachabilityFailoverAdvisor.java
@@ -57,9 +57,9 @@
   }
 
   /**
-   * Handles that this controller has become the owner of a shard. If the previous owner is alive
-   * and this controller is not the shard's home, the shard is not returned home before the keep
-   * time has passed.
+   * Called when this controller has become the owner of a shard. If the previous owner is alive and
+   * this controller is not the shard's home, the shard is not returned home before the keep time
+   * has passed.
    */
   void onAcquired(int shard) {
     String previousOwner = offers.previousOwner(shard);
@@ -77,7 +77,7 @@
     keepUntilMicros.put(shard, nowMicros + (feature.handover().keepMicros() << doublings));
   }
 
-  /** Handles that this controller is no longer the owner of a shard. */
+  /** Called when this controller is no longer the owner of a shard. */
   void onReleased(int shard) {
     unreachableSinceMicros.remove(shard);
   }
--- a/src/main/java/gladeknot/connectivity/WorkerLinkObserver.java
+++ b/src/main/java/gladeknot/connectivity/WorkerLinkObserver.java
@@ -116,7 +116,7 @@
     }
   }
 
-  /** Handles that a heartbeat of a worker of an owned shard is answered with 200. */
+  /** Called when a heartbeat of a worker of an owned shard is answered with 200. */
   void onAnswered(String host) {
     Contact contact = contacts.get(host);
     if (contact != null) {
--- a/src/main/java/gladeknot/peer/PeerReachability.java
+++ b/src/main/java/gladeknot/peer/PeerReachability.java
@@ -32,7 +32,7 @@
   public record Observation(
       String observer, String subject, long processStartMicros, long sequence) {}
 
-  /** How well the sender reaches the workers of a zone, from 0 to 100. */
+  /** The score of how well the sender reaches the workers of a zone, from 0 to 100. */
   public record ZoneReachability(String zone, int percent) {}
 
   /** The number of workers of another controller's shard that recently reported to the sender. */
--- a/src/test/java/gladeknot/connectivity/FailoverOffersTest.java
+++ b/src/test/java/gladeknot/connectivity/FailoverOffersTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Which changes of a shard suppress offers as flapping, and for how long. */
+/** Suppression of offers by flap damping: only changes of owner count, and only for a while. */
 class FailoverOffersTest {
   private static final long SECOND = 1_000_000;
 
