--- a/src/main/java/gladeknot/lifecycle/SliceMonitor.java
+++ b/src/main/java/gladeknot/lifecycle/SliceMonitor.java
@@ -40,7 +40,7 @@
 
   /** Checks the jobs whose slices have changed or violate the invariant, if a check is due. */
   void tick(long nowMicros) {
-    if (nowMicros < nextCheckMicros || !membership.copyLoaded()) {
+    if (nowMicros < nextCheckMicros || !membership.cacheLoaded()) {
       return;
     }
     nextCheckMicros = nowMicros + CHECK_INTERVAL_MICROS;
