--- a/src/main/java/gladeknot/tasks/Attempt.java
+++ b/src/main/java/gladeknot/tasks/Attempt.java
@@ -3,11 +3,11 @@
 import gladeknot.tracing.TaskTracer;
 
 /**
- * One start of a task on a worker, from the scheduling decision until its end is committed. All
- * times are microseconds of the steady clock.
+ * One start of a task on a worker, from the scheduling decision until the end of the attempt is
+ * committed. All times are microseconds of the steady clock.
  */
 public final class Attempt {
-  /** What the worker's newest heartbeat says of the attempt. */
+  /** The phase of an attempt according to the newest heartbeat of its worker. */
   public enum ObservedPhase {
     NOT_OBSERVED,
     FETCHING,
@@ -40,7 +40,7 @@
   private double graceSeconds;
   private boolean jobFinished;
 
-  /** A start that has been decided and is not committed yet. */
+  /** Creates an attempt whose start has been decided but is not committed yet. */
   public Attempt(Slice slice, int task, long number, String host, long decidedMicros) {
     this.slice = slice;
     this.task = task;
@@ -50,95 +50,103 @@
     this.decidedMicros = decidedMicros;
   }
 
-  /** An attempt read from a stored record: when it began to run is not known. */
+  /** Creates an attempt from a stored record, which does not say when the attempt began to run. */
   static Attempt recovered(Slice slice, AttemptCodec.StoredAttempt stored, long nowMicros) {
     Attempt attempt = new Attempt(slice, stored.task(), stored.number(), stored.host(), nowMicros);
     attempt.committed = true;
-    // Whether its run command was sent is not stored: it may have been.
+    // The record does not say whether the run command was sent, so assume that it was.
     attempt.runSent = true;
     attempt.recovered = true;
     return attempt;
   }
 
-  /** Its name for tracing. */
+  /** Returns the identity of the attempt in traces. */
   public TaskTracer.AttemptId traceId() {
     return new TaskTracer.AttemptId(slice.job(), name, number);
   }
 
-  /** The slice that its task belongs to. */
+  /** Returns the slice that the task belongs to. */
   public Slice slice() {
     return slice;
   }
 
-  /** The task's number in its job. */
+  /** Returns the number of the task in its job. */
   public int task() {
     return task;
   }
 
-  /** The attempt number, which no other attempt of the job has. */
+  /** Returns the attempt number, which is unique within the job. */
   public long number() {
     return number;
   }
 
-  /** The machine's name. */
+  /** Returns the name of the machine. */
   public String host() {
     return host;
   }
 
-  /** The task's name on the wire. */
+  /** Returns the name of the task on the wire. */
   public String name() {
     return name;
   }
 
-  /** When the start was decided, or read from a record. */
+  /** Returns the time at which the start was decided or read from a record. */
   public long decidedMicros() {
     return decidedMicros;
   }
 
-  /** Whether the start is in the state store, so that its run command may be sent. */
+  /** Returns whether the start is committed, so that the run command may be sent. */
   public boolean committed() {
     return committed;
   }
 
-  /** Whether another object stands for the same start. */
+  /** Returns whether another object represents the same start. */
   boolean isSameStart(Attempt other) {
     return number == other.number && host.equals(other.host);
   }
 
-  /** The start has been committed. */
+  /** Records that the start has been committed. */
   public void markCommitted() {
     committed = true;
   }
 
-  /** Whether it is provably off its machine; it is kept until that is committed. */
+  /**
+   * Returns whether the attempt provably no longer runs on its machine. A closed attempt is kept
+   * until its end is committed.
+   */
   public boolean closed() {
     return closed;
   }
 
-  /** It has ended, or is proven gone. */
+  /** Records that the attempt has ended or is provably lost. */
   public void close() {
     closed = true;
   }
 
-  /** Whether it was closed because its worker's lease expired. */
+  /** Returns whether the attempt was closed because its worker's lease expired. */
   public boolean leaseExpired() {
     return leaseExpired;
   }
 
-  /** The revision of the lease delegation entry by which the lease counted as expired. */
+  /**
+   * Returns the revision of the lease delegation entry on which the expiry of the lease was based.
+   */
   public long delegationRevision() {
     return delegationRevision;
   }
 
-  /** Its worker's lease has expired, as far as a revision of the delegation entry tells. */
-  public void expireLease(long byDelegationRevision) {
+  /**
+   * Records that the worker's lease has expired according to a revision of the lease delegation
+   * entry.
+   */
+  public void expireLease(long newDelegationRevision) {
     leaseExpired = true;
-    delegationRevision = byDelegationRevision;
+    delegationRevision = newDelegationRevision;
   }
 
   /**
-   * A commit that contained this attempt failed or was superseded, and the record still holds it:
-   * whether its lease has expired has to be judged anew.
+   * Resets the attempt after a commit that contained it failed or was superseded while the stored
+   * record still lists it. The expiry of its lease must then be determined again.
    */
   void reconfirm() {
     committed = true;
@@ -148,59 +156,70 @@
     }
   }
 
-  /** Whether it was closed because the task completed. */
+  /** Returns whether the attempt was closed because the task completed. */
   public boolean succeeded() {
     return succeeded;
   }
 
-  /** The task has completed. */
+  /** Records that the task has completed. */
   public void markSucceeded() {
     succeeded = true;
   }
 
-  /** Whether it was read from a record, so that how long it has run is not known. */
+  /**
+   * Returns whether the attempt was read from a stored record, so that its run time is not known.
+   */
   public boolean recovered() {
     return recovered;
   }
 
-  /** Whether its run command may have reached the worker. */
+  /** Returns whether the run command may have reached the worker. */
   public boolean runSent() {
     return runSent;
   }
 
-  /** The answer to a heartbeat of this incarnation and sequence number carries its run command. */
+  /**
+   * Records that the answer to the heartbeat with the given incarnation and sequence number carries
+   * the run command.
+   */
   public void markRunSent(long incarnation, long sequence) {
     runSent = true;
     runSentIncarnation = incarnation;
     runSentSequence = sequence;
   }
 
-  /** The incarnation of the newest heartbeat whose answer carried the run command; 0 if none. */
+  /**
+   * Returns the worker's incarnation in the newest heartbeat whose answer carried the run command,
+   * or 0 if no answer carried it.
+   */
   public long runSentIncarnation() {
     return runSentIncarnation;
   }
 
-  /** The sequence number of the newest heartbeat whose answer carried the run command. */
+  /** Returns the sequence number of the newest heartbeat whose answer carried the run command. */
   public long runSentSequence() {
     return runSentSequence;
   }
 
-  /** How many answers carried its run command and, as later heartbeats show, did not arrive. */
+  /**
+   * Returns the number of answers that carried the run command but did not arrive, as later
+   * heartbeats show.
+   */
   public int unacknowledgedRuns() {
     return unacknowledgedRuns;
   }
 
-  /** A later heartbeat shows that an answer with its run command did not arrive. */
+  /** Counts an answer with the run command that did not arrive, as a later heartbeat shows. */
   public void countUnacknowledgedRun() {
     unacknowledgedRuns++;
   }
 
-  /** The phase by the newest heartbeat of its machine. */
+  /** Returns the phase according to the newest heartbeat of the worker. */
   public ObservedPhase observedPhase() {
     return observedPhase;
   }
 
-  /** A heartbeat lists it in a phase. */
+  /** Records the phase in which a heartbeat lists the attempt. */
   public void observe(ObservedPhase phase, long nowMicros) {
     runSent = true;
     observedPhase = phase;
@@ -209,22 +228,28 @@
     }
   }
 
-  /** When it was first seen running; 0 if it has not been. */
+  /**
+   * Returns the time at which a heartbeat first listed the attempt as running, or 0 if none has.
+   */
   public long runningSinceMicros() {
     return runningSinceMicros;
   }
 
-  /** When a kill was first requested; 0 if none was. */
+  /** Returns the time of the first kill request, or 0 if there was none. */
   public long killRequestedMicros() {
     return killRequestedMicros;
   }
 
-  /** Whether a kill was requested. */
+  /** Returns whether a kill was requested. */
   public boolean killRequested() {
     return killRequestedMicros != 0;
   }
 
-  /** Requests a kill; returns whether it is the first request. A later one changes the grace. */
+  /**
+   * Requests a kill. A later request replaces the grace period.
+   *
+   * @return whether this is the first request
+   */
   public boolean requestKill(double newGraceSeconds, long nowMicros) {
     boolean first = killRequestedMicros == 0;
     if (first) {
@@ -234,22 +259,25 @@
     return first;
   }
 
-  /** What is left of the time that it has to save its progress. */
+  /** Returns the rest of the grace period, in which the task can save its progress. */
   public double remainingGraceSeconds(long nowMicros) {
     return Math.max(0, graceSeconds - (nowMicros - killRequestedMicros) / MICROS_PER_SECOND);
   }
 
-  /** Whether its job is finished: the owner of its shard kills it. */
+  /**
+   * Returns whether the job is completed or cancelled. The owner of the shard then kills the
+   * attempt.
+   */
   public boolean jobFinished() {
     return jobFinished;
   }
 
-  /** Its job is done or cancelled. */
+  /** Records that the job is completed or cancelled. */
   public void markJobFinished() {
     jobFinished = true;
   }
 
-  /** Its identity in log lines, for example {@code req-1/3#12 host=vm-000231}. */
+  /** Returns the identity in log lines, for example {@code req-1/3#12 host=vm-000231}. */
   @Override
   public String toString() {
     return name() + "#" + number + " host=" + host;
--- a/src/main/java/gladeknot/tasks/AttemptCodec.java
+++ b/src/main/java/gladeknot/tasks/AttemptCodec.java
@@ -8,28 +8,29 @@
 import java.util.List;
 
 /**
- * The stored form of a slice's attempts: text, in one of two forms.
+ * Codec for the attempts in a slice's stored record, a text in one of two forms.
  *
  * <p>The plain form, which every version reads, is {@code task:number:host}, separated by commas.
- * The compact form is {@code ~PREFIX:WIDTH:DATA}: the hosts' common name up to its last digits, how
- * many digits follow, and in Base64 for each attempt the differences of task, number and host from
- * the attempt before it, as numbers of variable length.
+ * The compact form is {@code ~PREFIX:WIDTH:DATA}. {@code PREFIX} is the part of the host names
+ * before their trailing digits, which all hosts share. {@code WIDTH} is the number of trailing
+ * digits. {@code DATA} holds, in Base64, the differences in task, attempt number and host number
+ * between each attempt and the one before it, as variable-length integers.
  */
 final class AttemptCodec {
-  /** One attempt as it is stored. */
+  /** An attempt in a stored record. */
   record StoredAttempt(int task, long number, String host) {}
 
-  private static final char COMPACT = '~';
-  private static final int BITS = 7;
-  private static final int MASK = (1 << BITS) - 1;
+  private static final char COMPACT_MARKER = '~';
+  private static final int VARINT_GROUP_BITS = 7;
+  private static final int VARINT_GROUP_MASK = (1 << VARINT_GROUP_BITS) - 1;
 
-  /** So many digits always fit a long. */
+  /** Maximum number of trailing digits; any number of 18 digits fits a long. */
   private static final int MAX_DIGITS = 18;
 
   private AttemptCodec() {}
 
-  /** The plain form. */
-  static String plain(List<StoredAttempt> attempts) {
+  /** Encodes attempts in the plain form. */
+  static String encodePlain(List<StoredAttempt> attempts) {
     StringBuilder text = new StringBuilder();
     for (StoredAttempt attempt : attempts) {
       text.append(text.length() == 0 ? "" : ",")
@@ -42,18 +43,18 @@
   }
 
   /**
-   * The compact form, or the plain one where that is shorter or the hosts' names differ in more
-   * than their numbers.
+   * Encodes attempts in the compact form. Returns the plain form if it is no longer than the
+   * compact one, or if the host names differ in more than their trailing digits.
    */
-  static String compact(List<StoredAttempt> attempts) {
-    String plain = plain(attempts);
+  static String encodeCompact(List<StoredAttempt> attempts) {
+    String plain = encodePlain(attempts);
     if (attempts.isEmpty()) {
       return plain;
     }
     String first = attempts.get(0).host();
-    int digits = digits(first);
+    int digits = trailingDigits(first);
     String prefix = first.substring(0, first.length() - digits);
-    boolean sameNaming =
+    boolean commonPrefix =
         digits > 0
             && prefix.indexOf(':') < 0
             && prefix.indexOf('|') < 0
@@ -63,15 +64,16 @@
                     host ->
                         host.length() == first.length()
                             && host.startsWith(prefix)
-                            && digits(host) == digits);
-    if (!sameNaming) {
+                            && trailingDigits(host) == digits);
+    if (!commonPrefix) {
       return plain;
     }
-    String compact = COMPACT + prefix + ":" + digits + ":" + data(attempts, prefix.length());
+    String compact =
+        COMPACT_MARKER + prefix + ":" + digits + ":" + encodeDeltas(attempts, prefix.length());
     return compact.length() < plain.length() ? compact : plain;
   }
 
-  private static String data(List<StoredAttempt> attempts, int prefixLength) {
+  private static String encodeDeltas(List<StoredAttempt> attempts, int prefixLength) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     long task = 0;
     long number = 0;
@@ -88,15 +90,15 @@
     return Base64.getEncoder().withoutPadding().encodeToString(out.toByteArray());
   }
 
-  /** Reads either form. */
-  static List<StoredAttempt> read(String text) {
+  /** Decodes attempts in either form. */
+  static List<StoredAttempt> decode(String text) {
     if (text.isEmpty()) {
       return List.of();
     }
-    return text.charAt(0) == COMPACT ? readCompact(text) : readPlain(text);
+    return text.charAt(0) == COMPACT_MARKER ? decodeCompact(text) : decodePlain(text);
   }
 
-  private static List<StoredAttempt> readPlain(String text) {
+  private static List<StoredAttempt> decodePlain(String text) {
     List<StoredAttempt> attempts = new ArrayList<>();
     for (String attempt : text.split(",")) {
       String[] fields = attempt.split(":", 3);
@@ -106,7 +108,7 @@
     return attempts;
   }
 
-  private static List<StoredAttempt> readCompact(String text) {
+  private static List<StoredAttempt> decodeCompact(String text) {
     String[] fields = text.substring(1).split(":", 3);
     int digits = Integer.parseInt(fields[1]);
     ByteArrayInputStream in = new ByteArrayInputStream(Base64.getDecoder().decode(fields[2]));
@@ -124,8 +126,8 @@
     return attempts;
   }
 
-  /** How many digits a name ends with. */
-  private static int digits(String name) {
+  /** Returns the number of digits at the end of a name, at most {@link #MAX_DIGITS}. */
+  private static int trailingDigits(String name) {
     int count = 0;
     while (count < Math.min(MAX_DIGITS, name.length())
         && isDigit(name.charAt(name.length() - 1 - count))) {
@@ -138,14 +140,17 @@
     return c >= '0' && c <= '9';
   }
 
-  /** Writes a number in zigzag encoding, small ones of either sign in few bytes. */
+  /**
+   * Writes a variable-length integer in zigzag encoding, so that small numbers of either sign take
+   * few bytes.
+   */
   private static void writeVarint(ByteArrayOutputStream out, long value) {
-    long rest = (value << 1) ^ (value >> 63);
-    while ((rest & ~MASK) != 0) {
-      out.write((int) (rest & MASK) | (MASK + 1));
-      rest >>>= BITS;
+    long remaining = (value << 1) ^ (value >> 63);
+    while ((remaining & ~VARINT_GROUP_MASK) != 0) {
+      out.write((int) (remaining & VARINT_GROUP_MASK) | (VARINT_GROUP_MASK + 1));
+      remaining >>>= VARINT_GROUP_BITS;
     }
-    out.write((int) rest);
+    out.write((int) remaining);
   }
 
   private static long readVarint(ByteArrayInputStream in) {
@@ -157,9 +162,9 @@
       if (next < 0) {
         throw new IllegalArgumentException("attempts are cut short");
       }
-      value |= (long) (next & MASK) << shift;
-      shift += BITS;
-    } while (next > MASK);
+      value |= (long) (next & VARINT_GROUP_MASK) << shift;
+      shift += VARINT_GROUP_BITS;
+    } while (next > VARINT_GROUP_MASK);
     return (value >>> 1) ^ -(value & 1);
   }
 }
--- a/src/main/java/gladeknot/tasks/HostDirectory.java
+++ b/src/main/java/gladeknot/tasks/HostDirectory.java
@@ -1,16 +1,19 @@
 package gladeknot.tasks;
 
 /**
- * What the slices need of the machines: their zones, and to be listed there with their attempts.
- * Implemented by the registry of workers, which builds on this package.
+ * The view of machines that slices need: it lists attempts by machine and knows the zones of
+ * machines. The registry of workers, which depends on this package, implements it.
  */
 public interface HostDirectory {
-  /** Lists an attempt at its machine, whether that machine is registered or not. */
+  /** Adds an attempt to its machine's list, whether or not the machine is registered. */
   void attach(Attempt attempt);
 
-  /** Removes an attempt from its machine's list; does nothing if it is not on it. */
+  /** Removes an attempt from its machine's list; does nothing if the list does not contain it. */
   void detach(Attempt attempt);
 
-  /** The zone of a machine, empty if the machine is not registered; null if it is not known. */
+  /**
+   * Returns the zone of a machine: empty if the machine is not registered, null if the machine is
+   * not known.
+   */
   String zone(String host);
 }
--- a/src/main/java/gladeknot/tasks/PackedValue.java
+++ b/src/main/java/gladeknot/tasks/PackedValue.java
@@ -7,14 +7,15 @@
 
 /**
  * The value of a key that packs many text fields: a segment with the records of many slices by job,
- * or a group of machines with their records. Two values are the same here if they are views of one
- * and the same map; what the state store's copy holds is never changed in place.
+ * or a group of machines with their records. Two values count as the same if they are views of the
+ * same map instance; this is sufficient because values in the watch cache are never changed in
+ * place.
  */
 public final class PackedValue {
   /** The value of a key that does not exist. */
   public static final PackedValue EMPTY = new PackedValue(Map.of());
 
-  /** Quotes, colon and comma of a field as JSON. */
+  /** Size of the quotes, colon and comma of a field as JSON. */
   private static final int FIELD_OVERHEAD_BYTES = 6;
 
   private static final int UNKNOWN = -1;
@@ -26,37 +27,37 @@
     this.fields = fields;
   }
 
-  /** A view of the fields of a key, which must not be changed any more. */
+  /** Returns a view of the fields of a key; the map must not be changed afterwards. */
   public static PackedValue of(Map<String, Object> fields) {
     return new PackedValue(fields);
   }
 
-  /** A view of an entry of the state store; {@link #EMPTY} if the entry is null. */
+  /** Returns a view of an entry of the state store, or {@link #EMPTY} if the entry is null. */
   public static PackedValue of(Entry entry) {
     return entry == null ? EMPTY : new PackedValue(entry.data());
   }
 
-  /** The text of a field; null if there is no such field. */
+  /** Returns the text of a field, or null if there is no such field. */
   public String get(String field) {
     return (String) fields.get(field);
   }
 
-  /** Whether there is such a field. */
+  /** Returns whether there is such a field. */
   public boolean contains(String field) {
     return fields.containsKey(field);
   }
 
-  /** The names of the fields; not to be changed. */
+  /** Returns the names of the fields; the caller must not change the set. */
   public Set<String> fieldNames() {
     return fields.keySet();
   }
 
-  /** The fields as a map that may be changed. */
+  /** Returns a copy of the fields that the caller may change. */
   public Map<String, Object> copyFields() {
     return new HashMap<>(fields);
   }
 
-  /** About how many bytes the value takes as JSON. */
+  /** Returns the approximate size of the value as JSON, in bytes. */
   public int encodedBytes() {
     if (encodedBytes == UNKNOWN) {
       encodedBytes = encodedBytes(fields);
@@ -64,7 +65,7 @@
     return encodedBytes;
   }
 
-  /** About how many bytes fields take as JSON. */
+  /** Returns the approximate size of fields as JSON, in bytes. */
   public static int encodedBytes(Map<String, Object> fields) {
     int sum = 0;
     for (Map.Entry<String, Object> field : fields.entrySet()) {
@@ -73,7 +74,7 @@
     return sum;
   }
 
-  /** About how many bytes one field takes as JSON. */
+  /** Returns the approximate size of one field as JSON, in bytes. */
   public static int encodedBytes(String field, String text) {
     return field.length() + text.length() + FIELD_OVERHEAD_BYTES;
   }
--- a/src/main/java/gladeknot/tasks/RuntimeEstimates.java
+++ b/src/main/java/gladeknot/tasks/RuntimeEstimates.java
@@ -7,18 +7,19 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long tasks run: the submitter's estimate, corrected by the run times of finished tasks of the
- * job, or else of its job class.
+ * Estimates of the run times of tasks. The estimate is the mean run time of the job's completed
+ * tasks. Until one has completed, it is the submitter's estimate, corrected by the run times of
+ * completed tasks of the same job class.
  */
 public final class RuntimeEstimates {
-  /** Services never end; sums of a few of these don't overflow. */
-  private static final long ENDLESS_MICROS = Long.MAX_VALUE / 4;
+  /** Run time of a service, which never ends. Sums of a few of these values don't overflow. */
+  private static final long SERVICE_RUN_MICROS = Long.MAX_VALUE / 4;
 
   private static final int MAX_JOBS = 500;
   private static final int INITIAL_CAPACITY = 64;
   private static final float LOAD_FACTOR = 0.75f;
 
-  /** Run times of finished tasks by job; jobs not asked for longest are evicted. */
+  /** Run times of completed tasks by job. The least recently used jobs are evicted. */
   private final Map<String, RunTotal> totalsByJob =
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
         private static final long serialVersionUID = 1L;
@@ -31,7 +32,7 @@
 
   private final Map<String, RunRatio> ratiosByClass = new HashMap<>();
 
-  /** The run times of a job's finished tasks. */
+  /** Sum and number of the run times of a job's completed tasks. */
   private static final class RunTotal {
     private long sumMicros;
     private long count;
@@ -46,39 +47,44 @@
     }
   }
 
-  /** The run times of a class's finished tasks in relation to their estimates. */
+  /** Ratio of actual to estimated run times of a job class's completed tasks. */
   private static final class RunRatio {
     private static final int PERCENT = 100;
     private static final int MAX_PERCENT = 100_000;
     private static final int SIGNIFICANT_DIGITS = 2;
-    private static final double MEDIAN = 50;
+    private static final double MEDIAN_PERCENTILE = 50;
 
-    /** So many finished tasks weigh as much as the estimate itself. */
+    /** Number of completed tasks that weigh as much as the estimate itself. */
     private static final int ESTIMATE_WEIGHT = 10;
 
     /**
-     * Up to so many finished tasks the median is worked out after each one; from then on after each
-     * further one in so many.
+     * Number N of completed tasks below which the median is recomputed after each task. From N
+     * tasks on, the median is recomputed whenever the number of tasks has grown by 1/N since the
+     * last time.
      */
-    private static final int EXACT_COUNT = 32;
+    private static final int EXACT_MEDIAN_COUNT = 32;
 
     private final Histogram percents = new Histogram(MAX_PERCENT, SIGNIFICANT_DIGITS);
     private double value = 1;
     private long countAtUpdate;
     private boolean upToDate;
 
-    private void add(long ranMicros, long estimatedMicros) {
-      long percent = ranMicros * PERCENT / estimatedMicros;
+    private void add(long actualMicros, long estimatedMicros) {
+      long percent = actualMicros * PERCENT / estimatedMicros;
       percents.recordValue(Math.max(1, Math.min(MAX_PERCENT, percent)));
       upToDate = false;
     }
 
-    /** Asked for each running task again and again, while a percentile walks the histogram. */
+    /**
+     * Returns the ratio. The result is cached because it is requested repeatedly for each running
+     * task, and computing a percentile iterates over the histogram.
+     */
     private double value() {
       long count = percents.getTotalCount();
-      boolean few = count < EXACT_COUNT;
-      if (!upToDate && (few || count >= countAtUpdate + countAtUpdate / EXACT_COUNT)) {
-        double median = percents.getValueAtPercentile(MEDIAN) / (double) PERCENT;
+      boolean belowExactCount = count < EXACT_MEDIAN_COUNT;
+      if (!upToDate
+          && (belowExactCount || count >= countAtUpdate + countAtUpdate / EXACT_MEDIAN_COUNT)) {
+        double median = percents.getValueAtPercentile(MEDIAN_PERCENTILE) / (double) PERCENT;
         value = (median * count + ESTIMATE_WEIGHT) / (count + ESTIMATE_WEIGHT);
         countAtUpdate = count;
       }
@@ -87,25 +93,28 @@
     }
   }
 
-  /** Records how long a task ran until it completed; ignored if the job has no estimate. */
-  public void recordRun(JobSpec spec, long ranMicros) {
-    if (spec.estimatedRunMicros() <= 0 || ranMicros <= 0) {
+  /** Records the run time of a completed task; ignored if the job has no estimate. */
+  public void recordRun(JobSpec spec, long actualMicros) {
+    if (spec.estimatedRunMicros() <= 0 || actualMicros <= 0) {
       return;
     }
-    totalsByJob.computeIfAbsent(spec.id(), id -> new RunTotal()).add(ranMicros);
+    totalsByJob.computeIfAbsent(spec.id(), id -> new RunTotal()).add(actualMicros);
     ratiosByClass
         .computeIfAbsent(spec.jobClass(), name -> new RunRatio())
-        .add(ranMicros, spec.estimatedRunMicros());
+        .add(actualMicros, spec.estimatedRunMicros());
   }
 
-  /** How long a task of the job will run, in microseconds without the fetch of its image. */
+  /**
+   * Returns the estimated run time of a task of the job, in microseconds, without the time to fetch
+   * its image.
+   */
   public long runMicros(JobSpec spec) {
     if (spec.shape() == JobSpec.Shape.SERVICE) {
-      return ENDLESS_MICROS;
+      return SERVICE_RUN_MICROS;
     }
     RunTotal total = totalsByJob.get(spec.id());
     if (total != null) {
-      // Tasks of one job are much alike: those that have ended tell of the rest.
+      // Tasks of one job are similar: the completed ones predict the others.
       return total.meanMicros();
     }
     RunRatio ratio = ratiosByClass.get(spec.jobClass());
--- a/src/main/java/gladeknot/tasks/SegmentCapacity.java
+++ b/src/main/java/gladeknot/tasks/SegmentCapacity.java
@@ -2,19 +2,19 @@
 
 import gladeknot.state.StateStore;
 
-/** How many more attempts the segments can hold before they exceed the largest value. */
+/** Computes how many more attempts segments can hold before they exceed the value size limit. */
 final class SegmentCapacity {
-  /** What one more attempt takes at most, mostly, in the plain form of a record. */
+  /** Typical maximum size of one more attempt in the plain form of a record. */
   private static final int PLAIN_ATTEMPT_BYTES = 30;
 
-  /** The same for the compact form. */
+  /** Typical maximum size of one more attempt in the compact form of a record. */
   private static final int COMPACT_ATTEMPT_BYTES = 9;
 
-  /** Bytes of a segment that are reserved for what else it comes to hold, at most. */
+  /** Maximum number of bytes of a segment that are reserved for other data than attempts. */
   private static final int MAX_RESERVED_BYTES = 1000;
 
-  /** The largest share of a segment that is reserved, as a divisor. */
-  private static final int RESERVED_SHARE = 4;
+  /** Divisor of the value size limit that gives the maximum reserved part of a segment. */
+  private static final int RESERVED_DIVISOR = 4;
 
   private final SegmentLayout layout;
   private final StateStore stateStore;
@@ -26,13 +26,16 @@
     this.segments = segments;
   }
 
-  /** How many attempts fit besides those that have been decided and are not committed yet. */
-  int remainingAttempts(Slice slice, int undecided) {
+  /**
+   * Returns the number of attempts that fit into a slice's segment in addition to those whose
+   * starts have been decided but not committed.
+   */
+  int remainingAttempts(Slice slice, int uncommittedStarts) {
     int maxBytes = stateStore.limits().maxValueBytes();
-    int attemptBytes = layout.compact() ? COMPACT_ATTEMPT_BYTES : PLAIN_ATTEMPT_BYTES;
-    int reserved = Math.min(MAX_RESERVED_BYTES, maxBytes / RESERVED_SHARE);
+    int attemptBytes = layout.allowsCompactForm() ? COMPACT_ATTEMPT_BYTES : PLAIN_ATTEMPT_BYTES;
+    int reservedBytes = Math.min(MAX_RESERVED_BYTES, maxBytes / RESERVED_DIVISOR);
     int segmentBytes = segments.value(slice.targetKey()).encodedBytes();
-    int used = reserved + segmentBytes + attemptBytes * undecided;
-    return Math.max(0, (maxBytes - used) / attemptBytes);
+    int usedBytes = reservedBytes + segmentBytes + attemptBytes * uncommittedStarts;
+    return Math.max(0, (maxBytes - usedBytes) / attemptBytes);
   }
 }
--- a/src/main/java/gladeknot/tasks/SegmentIndex.java
+++ b/src/main/java/gladeknot/tasks/SegmentIndex.java
@@ -11,7 +11,7 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 
-/** Which segment holds which slice's record, and what has been loaded of each segment. */
+/** Tracks which segment holds each slice's record, and which value of each segment was loaded. */
 public final class SegmentIndex {
   /** A slice's record and the key of the segment that holds it. */
   record StoredRecord(String segmentKey, String text) {}
@@ -19,20 +19,22 @@
   private final SegmentLayout layout;
   private final StateStore stateStore;
 
-  /** The keys of the segments that hold the records, by shard and job. */
+  /** Keys of the segments that hold the records, by shard and job. */
   private final List<Map<String, String>> segmentKeys = new ArrayList<>();
 
   /**
-   * Slices with a record in more than one segment, which must never be: the keys of all of them, by
-   * shard and job.
+   * Keys of all segments with a record of a slice, by shard and job, for slices with a record in
+   * more than one segment. Such duplicates violate an invariant.
    */
   private final List<Map<String, SortedSet<String>>> duplicates = new ArrayList<>();
 
-  /** The values from which the slices were loaded, by segment. */
+  /** Values from which the slices were loaded, by segment. */
   private final Map<String, PackedValue> loadedValues = new HashMap<>();
 
-  /** The present values as far as they were asked for, whose sizes are worked out once. */
-  private final Map<String, PackedValue> values = new HashMap<>();
+  /**
+   * Current values that were requested, by key. They are kept so that each size is computed once.
+   */
+  private final Map<String, PackedValue> cachedValues = new HashMap<>();
 
   SegmentIndex(int shards, SegmentLayout layout, StateStore stateStore) {
     this.layout = layout;
@@ -43,7 +45,7 @@
     }
   }
 
-  /** Takes in which records a segment holds, before any of them is read. */
+  /** Updates which records a segment holds. Must be called before any of them is read. */
   void onSegmentChange(Change change) {
     String key = change.key();
     int shard = SegmentLayout.shardOf(key);
@@ -60,13 +62,13 @@
   }
 
   private void addRecord(int shard, String job, String key) {
-    String other = segmentKeys.get(shard).put(job, key);
-    // A record that moves has left the other segment in the same transaction.
-    if (other == null || other.equals(key) || !value(other).contains(job)) {
+    String previousKey = segmentKeys.get(shard).put(job, key);
+    // A record that moves between segments leaves the previous one in the same transaction.
+    if (previousKey == null || previousKey.equals(key) || !value(previousKey).contains(job)) {
       return;
     }
     SortedSet<String> keys = duplicates.get(shard).computeIfAbsent(job, id -> new TreeSet<>());
-    keys.add(other);
+    keys.add(previousKey);
     keys.add(key);
   }
 
@@ -88,17 +90,23 @@
     return keys.contains(target) ? target : keys.first();
   }
 
-  /** Whether a slice has a record in more than one segment. */
+  /** Returns whether a slice has a record in more than one segment. */
   boolean hasDuplicates(int shard, String job) {
     return duplicates.get(shard).containsKey(job);
   }
 
-  /** The segments that hold a record of a slice, if there are several; empty otherwise. */
+  /**
+   * Returns the segments that hold a record of a slice if there is more than one; otherwise an
+   * empty set.
+   */
   SortedSet<String> duplicates(int shard, String job) {
     return duplicates.get(shard).getOrDefault(job, new TreeSet<>());
   }
 
-  /** Reports the slices whose records in a segment differ from those last loaded or written. */
+  /**
+   * Notifies a listener of the slices whose records in a segment differ from those last loaded or
+   * written.
+   */
   public void detectChanges(String key, SliceChangeListener listener) {
     PackedValue before = loadedValues.getOrDefault(key, PackedValue.EMPTY);
     PackedValue now = value(key);
@@ -127,32 +135,37 @@
     return jobs;
   }
 
-  /** A segment has been written with these records, which the slices already contain. */
+  /**
+   * Records that a segment has been written with the given records, which the slices already
+   * reflect.
+   */
   public void onSegmentWritten(String key, Map<String, Object> records) {
     loadedValues.put(key, PackedValue.of(records));
   }
 
-  /** The value of a segment, or of a key with machines, in the state store's copy. */
+  /** Returns the cached value of a segment or of a key with machines. */
   public PackedValue value(String key) {
     Entry entry = stateStore.get(key);
     if (entry == null) {
       return PackedValue.EMPTY;
     }
-    PackedValue known = values.get(key);
-    if (known == null || !known.isViewOf(entry.data())) {
-      known = PackedValue.of(entry);
-      values.put(key, known);
+    PackedValue cached = cachedValues.get(key);
+    if (cached == null || !cached.isViewOf(entry.data())) {
+      cached = PackedValue.of(entry);
+      cachedValues.put(key, cached);
     }
-    return known;
+    return cached;
   }
 
   /**
-   * The stored record of a slice. Of several the one counts that is where the layout in force has
-   * it, else the first by key, so that all controllers agree.
+   * Returns the stored record of a slice. If there are duplicates, returns the one in the segment
+   * that the current layout selects, or else the one with the lowest key, so that all controllers
+   * agree.
    */
   Optional<StoredRecord> find(int shard, String job) {
-    SortedSet<String> several = duplicates.get(shard).get(job);
-    String key = several == null ? segmentKeys.get(shard).get(job) : select(several, shard, job);
+    SortedSet<String> duplicateKeys = duplicates.get(shard).get(job);
+    String key =
+        duplicateKeys == null ? segmentKeys.get(shard).get(job) : select(duplicateKeys, shard, job);
     String text = key == null ? null : value(key).get(job);
     return text == null ? Optional.empty() : Optional.of(new StoredRecord(key, text));
   }
--- a/src/main/java/gladeknot/tasks/SegmentLayout.java
+++ b/src/main/java/gladeknot/tasks/SegmentLayout.java
@@ -4,19 +4,21 @@
 import java.util.function.IntSupplier;
 
 /**
- * Which segment a slice's record belongs in.
+ * Mapping of slices to the segments that hold their records.
  *
- * <p>A shard's records are stored in segments, keys that hold many records each: few enough that
- * one write commits many starts and ends, and enough that a full shard stays below the largest
- * value. Gangs and services, which change seldom, are kept apart from arrays: starts of spread jobs
- * are conditional on their segments.
+ * <p>A shard's records are stored in segments. A segment is a key that holds many records. There
+ * are few enough segments that one write commits many starts and ends, and enough of them that the
+ * values of a full shard stay below the value size limit. Gangs and services change rarely and have
+ * segments apart from those of arrays. A start of a spread job has the segments of the job's slices
+ * as preconditions, so that it would conflict with the frequent changes to arrays.
  *
- * <p>The cluster's storage format says into how many each of the first version's segments is split.
- * The number of segments is part of the names of split ones, so that every key tells how it is
- * read; the records of a segment of a larger number all come from one segment of a smaller one.
+ * <p>The cluster's storage format says how many segments each segment of the first version is split
+ * into. The names of split segments contain the number of segments, so that each key shows which
+ * layout it belongs to. All records of a segment in a layout with more segments come from one
+ * segment of a layout with fewer segments.
  */
 public final class SegmentLayout {
-  /** Begins the keys of all segments. */
+  /** Prefix of the keys of all segments. */
   public static final String KEY_PREFIX = StateStore.ROOT + "sl/";
 
   private static final int ARRAY_SEGMENTS = 4;
@@ -26,23 +28,31 @@
 
   private final IntSupplier segmentSplit;
 
-  /** A layout that asks each time into how many a segment of the first version is split. */
+  /**
+   * Creates a layout.
+   *
+   * @param segmentSplit supplies the number of segments that each segment of the first version is
+   *     split into; called on each use
+   */
   SegmentLayout(IntSupplier segmentSplit) {
     this.segmentSplit = segmentSplit;
   }
 
-  /** Begins the keys of a shard's segments. */
+  /** Returns the prefix of the keys of a shard's segments. */
   public static String keyPrefix(int shard) {
     return KEY_PREFIX + shard + "/";
   }
 
-  /** The shard whose records a segment holds. */
+  /** Returns the shard whose records a segment holds. */
   static int shardOf(String key) {
     return Integer.parseInt(
         key.substring(KEY_PREFIX.length(), key.indexOf('/', KEY_PREFIX.length())));
   }
 
-  /** The key of the segment that a slice's record belongs in by the cluster's storage format. */
+  /**
+   * Returns the key of the segment that a slice's record belongs to in the cluster's storage
+   * format.
+   */
   String key(int shard, boolean unsplit, String job) {
     int split = segmentSplit.getAsInt();
     int count = (unsplit ? UNSPLIT_SEGMENTS : ARRAY_SEGMENTS) * split;
@@ -51,18 +61,20 @@
     return keyPrefix(shard) + (unsplit ? UNSPLIT : ARRAY) + name;
   }
 
-  /** Whether a segment holds gangs and services, which are not split over shards. */
+  /** Returns whether a segment holds gangs and services, which are not split across shards. */
   static boolean holdsUnsplitJobs(String key) {
     return key.charAt(keyPrefix(shardOf(key)).length()) == UNSPLIT;
   }
 
-  /** Into how many segments each one of the first version is split. */
+  /** Returns the number of segments that each segment of the first version is split into. */
   int segmentSplit() {
     return segmentSplit.getAsInt();
   }
 
-  /** Whether records may be written in the compact form, which the first version can't read. */
-  boolean compact() {
+  /**
+   * Returns whether records may be written in the compact form, which the first version can't read.
+   */
+  boolean allowsCompactForm() {
     return segmentSplit.getAsInt() > 1;
   }
 }
--- a/src/main/java/gladeknot/tasks/SegmentLocation.java
+++ b/src/main/java/gladeknot/tasks/SegmentLocation.java
@@ -1,18 +1,18 @@
 package gladeknot.tasks;
 
-/** In which segment a slice's record is stored, and in which it belongs. */
+/** The segment that a slice's record is stored in, and the segment that it belongs to. */
 final class SegmentLocation {
   private final SegmentLayout layout;
   private final int shard;
   private final boolean unsplit;
   private final String job;
 
-  /** The key by the layout, and the split that it was worked out for. */
+  /** Key according to the layout, computed for {@link #targetSplit}. */
   private String targetKey;
 
   private int targetSplit;
 
-  /** The key of the segment that holds the record; null if the state store has none. */
+  /** Key of the segment that holds the record; null if the state store has no record. */
   private String storedKey;
 
   SegmentLocation(SegmentLayout layout, boolean unsplit, int shard, String job) {
@@ -22,7 +22,7 @@
     this.job = job;
   }
 
-  /** The segment that the record belongs in by the cluster's storage format. */
+  /** Returns the key of the segment that the record belongs to in the cluster's storage format. */
   String targetKey() {
     int split = layout.segmentSplit();
     if (split != targetSplit) {
@@ -32,12 +32,14 @@
     return targetKey;
   }
 
-  /** The segment that holds the record; null if the state store has none. */
+  /**
+   * Returns the key of the segment that holds the record, or null if the state store has no record.
+   */
   String storedKey() {
     return storedKey;
   }
 
-  /** The record is in this segment; null if it is in none. */
+  /** Sets the key of the segment that holds the record; null if the state store has no record. */
   void setStoredKey(String key) {
     storedKey = key;
   }
--- a/src/main/java/gladeknot/tasks/Slice.java
+++ b/src/main/java/gladeknot/tasks/Slice.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 
 /**
- * The tasks of a job that one shard has: which are done, and which have been started where.
+ * The tasks of a job that are assigned to one shard, with the completed tasks and the attempts.
  *
- * <p>For owned shards this is the working copy, which may be ahead of the stored record; for remote
- * shards it is what the record says.
+ * <p>For a shard that this controller owns, the slice is a working copy that may be ahead of the
+ * stored record. For other shards, it reflects the stored record.
  */
 public final class Slice {
   private final SegmentLayout layout;
@@ -34,7 +34,7 @@
   private long version;
   private long reloads;
 
-  /** Null until it is asked for. */
+  /** Computed on first use; null before. */
   private TaskRequirements requirements;
 
   private long dirtySinceMicros;
@@ -50,102 +50,100 @@
     this.job = job;
   }
 
-  /** The shard that has the tasks to run. */
+  /** Returns the shard that the tasks are assigned to. */
   public int shard() {
     return shard;
   }
 
-  /** The job's id. */
+  /** Returns the id of the job. */
   public String job() {
     return job;
   }
 
-  /** The job's team, whose quota its attempts use. */
+  /** Returns the team of the job, whose quota the attempts use. */
   public String team() {
     return team;
   }
 
-  /** The CPUs of one task, in thousandths. */
+  /** Returns the CPUs of one task, in thousandths. */
   public long cpus() {
     return cpus;
   }
 
-  /** The GPUs of one task, in thousandths. */
+  /** Returns the GPUs of one task, in thousandths. */
   public long gpus() {
     return gpus;
   }
 
-  /** The memory of one task, in thousandths of a GB. */
+  /** Returns the memory of one task, in thousandths of a GB. */
   public long memory() {
     return memory;
   }
 
-  /** Its attempts that are not known to have been committed as ended; not to be changed. */
+  /** Returns the attempts whose ends are not known to be committed; read-only for callers. */
   public Collection<Attempt> attempts() {
     return tasks.attemptsByTask().values();
   }
 
-  /**
-   * Its attempts that are not known to have been committed as ended, by task; not to be changed.
-   */
+  /** Returns the attempts whose ends are not known to be committed, by task; read-only. */
   public Map<Integer, Attempt> attemptsByTask() {
     return tasks.attemptsByTask();
   }
 
-  /** The tasks that are this shard's to run; not to be changed. */
+  /** Returns the tasks that are assigned to the shard; read-only for callers. */
   public BitSet assigned() {
     return tasks.assigned();
   }
 
-  /** The tasks that have completed, committed or not; not to be changed. */
+  /** Returns the completed tasks, whether or not this is committed; read-only for callers. */
   public BitSet done() {
     return tasks.done();
   }
 
   /**
-   * Tasks claimed from other shards' slices, by slice, which move with the next commit; not to be
-   * changed.
+   * Returns the tasks that are claimed from other shards' slices, by source slice; read-only for
+   * callers. They move to this slice with the next commit.
    */
   public Map<Slice, BitSet> pendingClaims() {
     return pendingClaims;
   }
 
-  /** Claims tasks of another shard's slice, which move here with the next commit. */
+  /** Claims tasks of another shard's slice. They move to this slice with the next commit. */
   public void addClaim(Slice from, BitSet claimed) {
     pendingClaims.put(from, claimed);
   }
 
-  /** The tasks claimed from a slice have been committed. */
+  /** Removes the claim on a slice's tasks after it has been committed. */
   public void removeClaim(Slice from) {
     pendingClaims.remove(from);
   }
 
-  /** Drops all claims that are not committed. */
+  /** Drops all claims that have not been committed. */
   public void dropClaims() {
     pendingClaims.clear();
   }
 
-  /** The key of the segment that holds its record; null if the state store has none. */
+  /** Returns the key of the segment that holds the record; null if no record is stored. */
   public String storedKey() {
     return location.storedKey();
   }
 
-  /** Grows with each change, so that a commit can tell whether it contained the last one. */
+  /** Returns the version; each change increments it, so that a commit detects later changes. */
   public long version() {
     return version;
   }
 
-  /** How often it was loaded again, so that an outcome can tell whether it concerns what it is. */
+  /** Returns the number of reloads; shows whether an outcome concerns the current contents. */
   public long reloads() {
     return reloads;
   }
 
-  /** Since when it has something to commit; 0 if it has nothing. */
+  /** Returns the time since which there have been changes to commit, or 0 if there are none. */
   public long dirtySinceMicros() {
     return dirtySinceMicros;
   }
 
-  /** It has something to commit. */
+  /** Records a change that has to be committed. */
   public void markDirty(long nowMicros) {
     version++;
     if (dirtySinceMicros == 0) {
@@ -153,56 +151,56 @@
     }
   }
 
-  /** All that it had to commit is committed. */
+  /** Records that all changes have been committed. */
   public void markClean() {
     dirtySinceMicros = 0;
   }
 
-  /** Its record was written to a segment, with these tasks done. */
+  /** Records that the record was written to a segment with the given tasks done. */
   public void markStored(String segmentKey, BitSet storedDone) {
     location.setStoredKey(segmentKey);
     committedDone = storedDone;
   }
 
-  /** No task of it starts before this time. */
+  /** Returns the time before which no task of the slice may start. */
   public long backoffUntilMicros() {
     return backoffUntilMicros;
   }
 
-  /** Starts no task of it before a time. */
+  /** Prevents tasks of the slice from starting before a time. */
   public void backOffUntil(long micros) {
     backoffUntilMicros = micros;
   }
 
-  /** Counts a task that failed; returns how many did since the last that completed. */
+  /** Counts a failed task; returns the number of failures since a task last completed. */
   public int countFailure() {
     consecutiveFailures++;
     return consecutiveFailures;
   }
 
-  /** A task has completed. */
+  /** Resets the number of failures after a task has completed. */
   public void resetFailures() {
     consecutiveFailures = 0;
   }
 
-  /** When the first task that could start began to wait; 0 if none waits. */
+  /** Returns the time since which tasks that could start have been waiting; 0 if none are. */
   public long pendingSinceMicros() {
     return pendingSinceMicros;
   }
 
-  /** Tasks wait to be started, from now on unless some waited already. */
+  /** Records that tasks are waiting to start; keeps the time since which some already were. */
   public void markPending(long nowMicros) {
     if (pendingSinceMicros == 0) {
       pendingSinceMicros = nowMicros;
     }
   }
 
-  /** No task waits to be started. */
+  /** Records that no task is waiting to start. */
   public void clearPending() {
     pendingSinceMicros = 0;
   }
 
-  /** What decides which machines take a task of it, worked out once. */
+  /** Returns the requirements of the tasks, which are computed once. */
   public TaskRequirements requirements(JobSpec spec) {
     if (requirements == null) {
       requirements = TaskRequirements.of(spec);
@@ -210,27 +208,27 @@
     return requirements;
   }
 
-  /** The tasks that are done by its committed record. */
+  /** Returns the tasks that are done according to the committed record. */
   public BitSet committedDone() {
     return committedDone;
   }
 
-  /** The segment that holds its record, or that will hold its first one. */
+  /** Returns the key of the segment that holds the record or will hold the first record. */
   public String key() {
     return isStored() ? location.storedKey() : targetKey();
   }
 
-  /** The segment that its record belongs in by the cluster's storage format. */
+  /** Returns the key of the segment that the record belongs to in the cluster's storage format. */
   public String targetKey() {
     return location.targetKey();
   }
 
-  /** Whether its record is in a segment of an earlier storage format. */
+  /** Returns whether the record is in a segment of an earlier storage format. */
   public boolean needsMigration() {
     return location.needsMigration();
   }
 
-  /** Whether the state store has a record of it. */
+  /** Returns whether the state store has a record of the slice. */
   boolean isStored() {
     return location.isStored();
   }
@@ -242,14 +240,14 @@
     memory = spec.memory();
   }
 
-  /** Sets it to what the even split says, as no record is stored. */
-  void resetToEvenShare(Job from) {
-    setResources(from.spec());
-    tasks.reset(EvenSplit.share(from.spec(), from.home(), shard, shards), new BitSet());
+  /** Resets the slice to the even split, because no record is stored. */
+  void resetToEvenShare(Job activeJob) {
+    setResources(activeJob.spec());
+    tasks.reset(EvenSplit.share(activeJob.spec(), activeJob.home(), shard, shards), new BitSet());
     committedDone = new BitSet();
   }
 
-  /** Sets it to its record; the caller adds the attempts that are returned. */
+  /** Resets the slice to a stored record; the caller adds the returned attempts. */
   List<Attempt> decode(String text, long nowMicros) {
     SliceRecord stored = SliceRecord.decode(text);
     team = stored.team();
@@ -266,12 +264,12 @@
     return attempts;
   }
 
-  /** Its record as it is to be stored. */
+  /** Returns the record to store. */
   public String encode() {
     return encode(tasks.assigned());
   }
 
-  /** Its record with other tasks assigned. */
+  /** Returns the record to store, with the given tasks as the assigned ones. */
   public String encode(BitSet assigned) {
     List<AttemptCodec.StoredAttempt> live = new ArrayList<>();
     for (Attempt attempt : tasks.attemptsByTask().values()) {
@@ -280,73 +278,77 @@
       }
     }
     return new SliceRecord(team, cpus, gpus, memory, attemptCounter, assigned, tasks.done(), live)
-        .encode(layout.compact());
+        .encode(layout.allowsCompactForm());
   }
 
-  /** How many attempt numbers have been drawn here. */
+  /** Returns how many attempt numbers this slice has assigned. */
   long attemptCounter() {
     return attemptCounter;
   }
 
-  /** Draws a number that no attempt of the job has had, in any shard. */
+  /** Returns a new attempt number, which is unique within the job across all shards. */
   public long nextAttemptNumber() {
     attemptCounter++;
     return attemptCounter * shards + shard + 1;
   }
 
-  /** Marks a task as done. A gang is done as a whole, whatever its other machines report later. */
-  public void markDone(int task, Job from) {
-    if (from != null && from.spec().shape() == JobSpec.Shape.GANG) {
+  /**
+   * Marks a task as done. A gang is marked as done as a whole, whatever its other machines report
+   * later. The job is null if it is not active.
+   */
+  public void markDone(int task, Job activeJob) {
+    if (activeJob != null && activeJob.spec().shape() == JobSpec.Shape.GANG) {
       tasks.markAllDone();
     } else {
       tasks.markDone(task);
     }
   }
 
-  /** Whether a task of it is neither done nor started. */
+  /** Returns whether a task of the slice is neither done nor started. */
   public boolean isPending(int task) {
     return tasks.isPending(task);
   }
 
-  /** The first task from a number on that is neither done nor started; -1 if none. */
+  /** Returns the first task from a number on that is neither done nor started; -1 if none. */
   public int nextPending(int from) {
     return tasks.nextPending(from);
   }
 
-  /** How many of its tasks are neither done nor started. */
+  /** Returns the number of tasks that are neither done nor started. */
   public int pendingCount() {
     return tasks.pendingCount();
   }
 
-  /** Adds tasks that are claimed from another slice. */
+  /** Assigns tasks that are claimed from another slice. */
   public void assign(BitSet claimed) {
     tasks.assign(claimed);
   }
 
-  /** Returns a task that was claimed and could not be placed. */
+  /** Removes a task that was claimed but could not be placed. */
   public void unassign(int task) {
     tasks.unassign(task);
   }
 
-  /** Whether starts have been decided that are not committed yet. */
+  /** Returns whether there are starts that have been decided but not committed. */
   public boolean hasUncommittedStarts() {
     return tasks.hasUncommittedStarts();
   }
 
-  /** How many of its tasks may be on a machine, by all that is known, committed or not. */
+  /** Returns the number of tasks that may be on a machine as far as known, committed or not. */
   public int liveCount() {
     return tasks.liveCount();
   }
 
   /**
-   * How many of its tasks use quota: those that may be on a machine, and those whose ends are not
-   * known to have been committed. Whoever owns the shard next may start these again.
+   * Returns the number of tasks that use quota. These are the tasks that may be on a machine and
+   * the tasks whose ends are not known to be committed: the next owner of the shard may start the
+   * latter again.
    */
   public int occupyingCount() {
     return tasks.attemptsByTask().size();
   }
 
-  /** Whether the end of an attempt of it waits to be committed. */
+  /** Returns whether there are ends of attempts that are not committed. */
   public boolean hasUncommittedEnds() {
     return occupyingCount() > liveCount();
   }
@@ -363,7 +365,7 @@
     tasks.clearAttempts();
   }
 
-  /** Drops what was only decided, before its record, if there is one, is loaded again. */
+  /** Drops uncommitted decisions before a reload; the key is null if no record is stored. */
   void beginReload(String segmentKey) {
     clearAttempts();
     pendingClaims.clear();
@@ -373,18 +375,18 @@
     location.setStoredKey(segmentKey);
   }
 
-  /** It is dropped: a commit that contains it must not take it for unchanged. */
+  /** Discards the slice; the new version keeps a commit from treating it as unchanged. */
   void discard() {
     clearAttempts();
     version++;
   }
 
-  /** An attempt of it was closed. */
+  /** Invalidates the cached counts after an attempt was closed. */
   public void invalidateCounts() {
     tasks.invalidateCounts();
   }
 
-  /** Whether all its tasks are done. */
+  /** Returns whether all assigned tasks are done. */
   public boolean isComplete() {
     return tasks.isComplete();
   }
--- a/src/main/java/gladeknot/tasks/SliceIntegrity.java
+++ b/src/main/java/gladeknot/tasks/SliceIntegrity.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /**
- * What rules out that two controllers start the same task: each task of a job belongs to one slice,
- * and each slice has one record. Both are checked by the records in the controller's copy of the
- * state; working copies may be older while a segment is being written.
+ * Checks the invariants that prevent two controllers from starting the same task: each task of a
+ * job belongs to one slice, and each slice has one record. Both are checked on the records in the
+ * watch cache, because working copies may be older while a segment is being written.
  */
 public final class SliceIntegrity {
   private final int shards;
@@ -18,43 +18,48 @@
     this.segments = segments;
   }
 
-  /** Whether each task of an active job belongs to one slice, and each slice has one record. */
+  /**
+   * Returns whether each task of an active job belongs to one slice and each slice has one record.
+   */
   public boolean holds(Job job) {
     return tasksAssignedTwice(job).isEmpty() && !hasDuplicates(job.id());
   }
 
-  /** What is wrong with an active job's records, with all figures; empty if nothing is. */
+  /**
+   * Describes how an active job's records violate the invariants, with the tasks, record and
+   * segments of each shard; empty if they don't.
+   */
   public Optional<String> violation(Job job) {
     if (holds(job)) {
       return Optional.empty();
     }
-    StringBuilder facts = new StringBuilder();
-    facts.append("tasks_twice=").append(TaskRanges.text(tasksAssignedTwice(job)));
+    StringBuilder description = new StringBuilder();
+    description.append("tasks_twice=").append(TaskRanges.text(tasksAssignedTwice(job)));
     for (int shard = 0; shard < shards; shard++) {
       String record =
           segments
               .find(shard, job.id())
               .map(stored -> stored.segmentKey() + " " + stored.text())
               .orElse("none");
-      facts.append(" shard_").append(shard);
-      facts.append("={tasks=").append(TaskRanges.text(assigned(job, shard)));
-      facts.append(" record=").append(record);
-      facts.append(" segments=").append(segments.duplicates(shard, job.id())).append('}');
+      description.append(" shard_").append(shard);
+      description.append("={tasks=").append(TaskRanges.text(assigned(job, shard)));
+      description.append(" record=").append(record);
+      description.append(" segments=").append(segments.duplicates(shard, job.id())).append('}');
     }
-    return Optional.of(facts.toString());
+    return Optional.of(description.toString());
   }
 
   private BitSet tasksAssignedTwice(Job job) {
-    BitSet once = new BitSet();
-    BitSet twice = new BitSet();
+    BitSet seen = new BitSet();
+    BitSet duplicates = new BitSet();
     for (int shard = 0; shard < shards; shard++) {
       BitSet tasks = assigned(job, shard);
-      BitSet both = (BitSet) tasks.clone();
-      both.and(once);
-      twice.or(both);
-      once.or(tasks);
+      BitSet overlap = (BitSet) tasks.clone();
+      overlap.and(seen);
+      duplicates.or(overlap);
+      seen.or(tasks);
     }
-    return twice;
+    return duplicates;
   }
 
   private BitSet assigned(Job job, int shard) {
--- a/src/main/java/gladeknot/tasks/SliceRecord.java
+++ b/src/main/java/gladeknot/tasks/SliceRecord.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * A slice as it is stored: {@code TEAM|CPUS|GPUS|MEMORY|COUNTER|ASSIGNED|DONE|ATTEMPTS}, the
- * amounts in thousandths, the sets of tasks as {@link TaskRanges}, the attempts as {@link
- * AttemptCodec} writes them.
+ * The stored form of a slice: {@code TEAM|CPUS|GPUS|MEMORY|COUNTER|ASSIGNED|DONE|ATTEMPTS}. Amounts
+ * are in thousandths, sets of tasks are in the form of {@link TaskRanges}, and attempts are in the
+ * form of {@link AttemptCodec}.
  *
- * @param attemptCounter how many attempt numbers have been drawn for the slice
- * @param assigned the tasks that the shard has to run
- * @param done those of them that are done
- * @param attempts the tasks that may be on machines
+ * @param attemptCounter the number of attempt numbers that the slice has assigned
+ * @param assigned the tasks that are assigned to the shard
+ * @param done the assigned tasks that are done
+ * @param attempts the attempts that may be on machines
  */
 record SliceRecord(
     String team,
@@ -23,7 +23,10 @@
     BitSet done,
     List<AttemptCodec.StoredAttempt> attempts) {
 
-  /** Stands for all assigned tasks: slices that are done outnumber the others. */
+  /**
+   * Text of the done tasks if all assigned tasks are done. It keeps records short, because most
+   * stored slices are done.
+   */
   private static final String ALL_ASSIGNED = "*";
 
   private static final String SEPARATOR = "|";
@@ -37,7 +40,7 @@
   private static final int DONE = 6;
   private static final int ATTEMPTS = 7;
 
-  /** Reads a stored record, its attempts in whichever form they have. */
+  /** Decodes a stored record with its attempts in either form. */
   static SliceRecord decode(String text) {
     String[] fields = text.split(SEPARATOR_PATTERN, -1);
     BitSet assigned = TaskRanges.parse(fields[ASSIGNED]);
@@ -50,15 +53,19 @@
         Long.parseLong(fields[ATTEMPT_COUNTER]),
         assigned,
         allDone ? assigned : TaskRanges.parse(fields[DONE]),
-        AttemptCodec.read(fields[ATTEMPTS]));
+        AttemptCodec.decode(fields[ATTEMPTS]));
   }
 
-  /** The tasks that a stored record assigns, without reading the rest of it. */
+  /** Returns the assigned tasks of a stored record without decoding its other fields. */
   static BitSet assignedIn(String text) {
     return TaskRanges.parse(text.split(SEPARATOR_PATTERN, ASSIGNED + 2)[ASSIGNED]);
   }
 
-  /** The record's text; {@code compact} chooses the form of the attempts. */
+  /**
+   * Encodes the record.
+   *
+   * @param compact whether to encode the attempts in the compact form
+   */
   String encode(boolean compact) {
     return String.join(
         SEPARATOR,
@@ -69,6 +76,6 @@
         Long.toString(attemptCounter),
         TaskRanges.text(assigned),
         done.equals(assigned) ? ALL_ASSIGNED : TaskRanges.text(done),
-        compact ? AttemptCodec.compact(attempts) : AttemptCodec.plain(attempts));
+        compact ? AttemptCodec.encodeCompact(attempts) : AttemptCodec.encodePlain(attempts));
   }
 }
--- a/src/main/java/gladeknot/tasks/SliceRegistry.java
+++ b/src/main/java/gladeknot/tasks/SliceRegistry.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.function.IntSupplier;
 
-/** All slices of jobs that are active or still have tasks on machines. */
+/** Registry of all slices of jobs that are active or still have tasks on machines. */
 public final class SliceRegistry {
   private final int shards;
   private final SegmentLayout layout;
@@ -24,16 +24,17 @@
   private final HostDirectory hosts;
   private final SliceIntegrity integrity;
 
-  /** The jobs whose slices were loaded since this was asked last. */
+  /** Jobs whose slices were loaded since the last call of {@link #takeLoadedJobs}. */
   private final Set<String> loadedJobs = new HashSet<>();
 
   private final List<Map<String, Slice>> byShard = new ArrayList<>();
   private long nowMicros;
 
   /**
-   * A registry without slices.
+   * Creates a registry without slices.
    *
-   * @param segmentSplit is asked each time, see {@link SegmentLayout}
+   * @param segmentSplit supplies the number of segments that each segment of the first version is
+   *     split into, see {@link SegmentLayout}; called on each use
    */
   public SliceRegistry(
       int shards, IntSupplier segmentSplit, StateStore stateStore, HostDirectory hosts) {
@@ -54,39 +55,39 @@
     nowMicros = now;
   }
 
-  /** The segments that the slices are loaded from. */
+  /** Returns the index of the segments that the slices are loaded from. */
   public SegmentIndex segments() {
     return segments;
   }
 
-  /** What every start of a task relies on. */
+  /** Returns the check of the invariants that every start of a task relies on. */
   public SliceIntegrity integrity() {
     return integrity;
   }
 
-  /** The jobs whose slices were loaded since the last call. */
+  /** Returns the jobs whose slices were loaded since the last call. */
   public Set<String> takeLoadedJobs() {
     Set<String> taken = Set.copyOf(loadedJobs);
     loadedJobs.clear();
     return taken;
   }
 
-  /** The slices of a shard; not to be changed. */
+  /** Returns the slices of a shard; the caller must not change the collection. */
   public Collection<Slice> inShard(int shard) {
     return byShard.get(shard).values();
   }
 
-  /** A job's slice in a shard; null if it has none there. */
+  /** Returns a job's slice in a shard, or null if there is none. */
   public Slice get(int shard, String job) {
     return byShard.get(shard).get(job);
   }
 
-  /** Whether a slice has not been dropped or replaced. */
+  /** Returns whether a slice is registered, that is, has not been dropped or replaced. */
   public boolean contains(Slice slice) {
     return get(slice.shard(), slice.job()) == slice;
   }
 
-  /** The slices of a job, in the order of their shards. */
+  /** Returns the slices of a job in the order of their shards. */
   public List<Slice> ofJob(String job) {
     List<Slice> found = new ArrayList<>(shards);
     for (Map<String, Slice> slices : byShard) {
@@ -98,20 +99,24 @@
     return found;
   }
 
-  /** How many of a job's tasks may be on machines of each zone, in whichever slice. */
+  /** Returns the number of a job's tasks, in all slices, that may be on machines of each zone. */
   public Map<String, Integer> zoneCounts(String job) {
     return zones.countByZone(ofJob(job));
   }
 
-  /** Whether a job's attempts, committed or only decided, meet its zone constraints. */
+  /** Returns whether a job's attempts, committed or not, meet the zone constraints of the job. */
   public boolean zoneConstraintsHold(JobSpec spec) {
     if (!spec.spread() && !spec.colocated()) {
       return true;
     }
-    return ZoneConstraints.hold(spec, zoneCounts(spec.id()));
+    return ZoneConstraints.satisfied(spec, zoneCounts(spec.id()));
   }
 
-  /** A job was submitted, changed or has ended; null if it is not known any more. */
+  /**
+   * Updates the slices after a job was submitted, changed or has ended.
+   *
+   * @param job null if the job is no longer known
+   */
   public void jobChanged(String id, Job job) {
     for (int shard = 0; shard < shards; shard++) {
       Slice slice = get(shard, id);
@@ -125,22 +130,26 @@
     }
   }
 
-  /** Takes in which records a segment holds, before any of them is read. */
+  /** Updates which records a segment holds. Must be called before any of them is read. */
   public void onSegmentChange(Change change) {
     segments.onSegmentChange(change);
   }
 
-  /** How many more attempts fit into the segment that a slice belongs in. */
-  public int attemptCapacity(Slice slice, int undecided) {
-    return capacity.remainingAttempts(slice, undecided);
+  /**
+   * Returns the number of attempts that fit into a slice's segment in addition to those whose
+   * starts have been decided but not committed.
+   */
+  public int attemptCapacity(Slice slice, int uncommittedStarts) {
+    return capacity.remainingAttempts(slice, uncommittedStarts);
   }
 
   /**
-   * Loads a slice from its stored record, or by the even split if it has none. What was only
-   * decided is dropped; what was observed of attempts that the record still holds is kept.
+   * Loads a slice from its stored record or, if there is no record, from the even split. Decisions
+   * that are not committed are dropped. Observations of attempts that the record still lists are
+   * kept.
    *
    * @param job null if the job is not active
-   * @return empty if the shard has no slice of the job
+   * @return the slice, or empty if the shard has no slice of the job
    */
   public Optional<Slice> load(int shard, String id, Job job) {
     loadedJobs.add(id);
@@ -163,7 +172,7 @@
     if (stored == null) {
       resetToEvenShare(slice, job);
     } else {
-      read(slice, stored);
+      loadRecord(slice, stored);
     }
     return Optional.of(slice);
   }
@@ -184,12 +193,12 @@
     slice.resetToEvenShare(job);
   }
 
-  private void read(Slice slice, SegmentIndex.StoredRecord stored) {
-    Map<Integer, Attempt> before = new HashMap<>(slice.attemptsByTask());
+  private void loadRecord(Slice slice, SegmentIndex.StoredRecord stored) {
+    Map<Integer, Attempt> previous = new HashMap<>(slice.attemptsByTask());
     detachAttempts(slice);
     slice.beginReload(stored.segmentKey());
     for (Attempt attempt : slice.decode(stored.text(), nowMicros)) {
-      Attempt known = before.get(attempt.task());
+      Attempt known = previous.get(attempt.task());
       if (known != null && known.isSameStart(attempt)) {
         known.reconfirm();
         addAttempt(known);
@@ -200,9 +209,9 @@
   }
 
   /**
-   * Forgets what was observed of a shard's attempts; the next load reads them from their records.
-   * Another owner may start the same attempt again on its machine, so that an end seen before
-   * proves nothing.
+   * Drops all observations of a shard's attempts; the next load reads the attempts from their
+   * records. Another owner may start the same attempt on its machine again, so that an end observed
+   * before that proves nothing.
    */
   public void forgetAttempts(int shard) {
     for (Slice slice : inShard(shard)) {
@@ -211,27 +220,27 @@
     }
   }
 
-  /** Adds an empty slice, to take claimed tasks. */
+  /** Adds an empty slice for claimed tasks. */
   public Slice create(int shard, Job job) {
     Slice slice = add(job.spec().unsplit(), shard, job.id());
     slice.setResources(job.spec());
     return slice;
   }
 
-  /** Drops a slice that has neither tasks nor a stored record. */
+  /** Drops a slice if it has no tasks, no attempts and no stored record. */
   public void discardIfEmpty(Slice slice) {
     if (!slice.isStored() && slice.assigned().isEmpty() && slice.attemptsByTask().isEmpty()) {
       byShard.get(slice.shard()).remove(slice.job(), slice);
     }
   }
 
-  /** Adds a start that was decided or read from a record. */
+  /** Adds an attempt whose start was decided or that was read from a record. */
   public void addAttempt(Attempt attempt) {
     attempt.slice().addAttempt(attempt);
     hosts.attach(attempt);
   }
 
-  /** Removes an attempt whose end is committed, or whose start never was. */
+  /** Removes an attempt whose end has been committed or whose start has not been committed. */
   public void removeAttempt(Attempt attempt) {
     attempt.slice().removeAttempt(attempt);
     hosts.detach(attempt);
--- a/src/main/java/gladeknot/tasks/TaskRanges.java
+++ b/src/main/java/gladeknot/tasks/TaskRanges.java
@@ -2,11 +2,11 @@
 
 import java.util.BitSet;
 
-/** Sets of task numbers as text such as "0-4,7". */
+/** Codec for sets of task numbers as text such as "0-4,7". */
 final class TaskRanges {
   private TaskRanges() {}
 
-  /** The text of a set. */
+  /** Returns the text of a set. */
   static String text(BitSet tasks) {
     StringBuilder text = new StringBuilder();
     for (int from = tasks.nextSetBit(0); from >= 0; ) {
@@ -23,7 +23,7 @@
     return text.toString();
   }
 
-  /** The set of a text; empty if the text is null or empty. */
+  /** Parses the text of a set; the set is empty if the text is null or empty. */
   static BitSet parse(String text) {
     BitSet tasks = new BitSet();
     if (text == null || text.isEmpty()) {
--- a/src/main/java/gladeknot/tasks/TaskRequirements.java
+++ b/src/main/java/gladeknot/tasks/TaskRequirements.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * What decides whether a machine takes a task of a job that is bound to no zones by its other
- * tasks. Many jobs share one value, so that one search of the machines serves all of them.
+ * The requirements that decide whether a machine can run a task, apart from zone constraints that
+ * depend on the job's other tasks. Many jobs have equal requirements, so that one search for
+ * machines serves all of them.
  */
 public record TaskRequirements(
     long cpus,
@@ -15,7 +16,7 @@
     String zone,
     boolean spotAllowed,
     boolean service) {
-  /** The requirements of a job's tasks. */
+  /** Returns the requirements of a job's tasks. */
   public static TaskRequirements of(JobSpec spec) {
     return new TaskRequirements(
         spec.cpus(),
--- a/src/main/java/gladeknot/tasks/TaskStates.java
+++ b/src/main/java/gladeknot/tasks/TaskStates.java
@@ -4,11 +4,11 @@
 import java.util.TreeMap;
 
 /**
- * The states of a slice's tasks: which are assigned to it, which of them are done, and which have
- * attempts. What is asked for in each scheduling cycle is counted once after each change.
+ * The states of a slice's tasks: the assigned tasks, the done tasks and the attempts. Counts that
+ * are read in each scheduling cycle are computed once after each change.
  */
 final class TaskStates {
-  /** A count that has to be worked out again. */
+  /** Value of a count that has to be computed again. */
   private static final int UNKNOWN = -1;
 
   private final BitSet assigned = new BitSet();
@@ -29,7 +29,7 @@
     return attemptsByTask;
   }
 
-  /** Replaces the assigned and the done tasks; the attempts stay. */
+  /** Replaces the assigned and the done tasks and keeps the attempts. */
   void reset(BitSet newAssigned, BitSet newDone) {
     pendingCount = UNKNOWN;
     assigned.clear();
@@ -62,12 +62,12 @@
     return done.cardinality() == assigned.cardinality();
   }
 
-  /** Whether a task is neither done nor started. */
+  /** Returns whether a task is neither done nor started. */
   boolean isPending(int task) {
     return assigned.get(task) && !done.get(task) && !attemptsByTask.containsKey(task);
   }
 
-  /** The first pending task from a number on; -1 if there is none. */
+  /** Returns the first pending task from a number on; -1 if there is none. */
   int nextPending(int from) {
     for (int task = assigned.nextSetBit(from); task >= 0; task = assigned.nextSetBit(task + 1)) {
       if (!done.get(task) && !attemptsByTask.containsKey(task)) {
@@ -77,10 +77,10 @@
     return -1;
   }
 
-  /** How many tasks are neither done nor started. */
+  /** Returns the number of tasks that are neither done nor started. */
   int pendingCount() {
     if (pendingCount < 0) {
-      // Attempts are always of assigned tasks that are not done, but for those that just finished.
+      // All attempts are of assigned tasks. Only attempts that just ended are of done tasks.
       int started = 0;
       for (Attempt attempt : attemptsByTask.values()) {
         if (!done.get(attempt.task())) {
@@ -92,7 +92,10 @@
     return pendingCount;
   }
 
-  /** How many tasks may be on a machine, by all that is known, committed or not. */
+  /**
+   * Returns the number of tasks that may be on a machine according to all current knowledge,
+   * committed or not.
+   */
   int liveCount() {
     if (liveCount < 0) {
       liveCount = 0;
@@ -127,7 +130,7 @@
     invalidateCounts();
   }
 
-  /** An attempt was added, removed or closed. */
+  /** Invalidates the cached counts after an attempt was added, removed or closed. */
   void invalidateCounts() {
     liveCount = UNKNOWN;
     pendingCount = UNKNOWN;
--- a/src/main/java/gladeknot/tasks/TerminationGrace.java
+++ b/src/main/java/gladeknot/tasks/TerminationGrace.java
@@ -2,19 +2,27 @@
 
 import gladeknot.jobs.JobSpec;
 
-/** The grace period of a termination: long enough for a last checkpoint of jobs that make some. */
+/**
+ * Computes the grace period of a termination, which is long enough for a last checkpoint if the job
+ * makes checkpoints.
+ */
 public final class TerminationGrace {
-  /** Added to the checkpoint's time for the command's way to the worker and the worker's clock. */
-  private static final double MARGIN_S = 0.5;
+  /**
+   * Time added to that of a checkpoint, for the delivery of the kill command to the worker and for
+   * the worker's clock.
+   */
+  private static final double MARGIN_SECONDS = 0.5;
 
   private static final double MICROS_PER_SECOND = 1e6;
 
   private TerminationGrace() {}
 
-  /** The grace period for a task of a job, in seconds; 0 if the job makes no checkpoints. */
+  /**
+   * Returns the grace period for a task of a job, in seconds; 0 if the job makes no checkpoints.
+   */
   public static double seconds(JobSpec spec) {
     return spec.checkpointIntervalMicros() == 0
         ? 0
-        : spec.checkpointMicros() / MICROS_PER_SECOND + MARGIN_S;
+        : spec.checkpointMicros() / MICROS_PER_SECOND + MARGIN_SECONDS;
   }
 }
--- a/src/main/java/gladeknot/tasks/ZoneConstraints.java
+++ b/src/main/java/gladeknot/tasks/ZoneConstraints.java
@@ -13,7 +13,10 @@
     this.hosts = hosts;
   }
 
-  /** How many tasks of some slices may be on machines of each zone, in a map of the caller's. */
+  /**
+   * Returns the number of tasks of the given slices that may be on machines of each zone, in a new
+   * map.
+   */
   Map<String, Integer> countByZone(List<Slice> slices) {
     Map<String, Integer> counts = new HashMap<>();
     for (Slice slice : slices) {
@@ -27,8 +30,8 @@
     return counts;
   }
 
-  /** Whether a job may have so many tasks in each zone. */
-  static boolean hold(JobSpec spec, Map<String, Integer> counts) {
+  /** Returns whether a job's zone constraints allow the given numbers of tasks per zone. */
+  static boolean satisfied(JobSpec spec, Map<String, Integer> counts) {
     if (spec.colocated() && counts.size() > 1) {
       return false;
     }
--- a/src/test/java/gladeknot/tasks/AttemptCodecTest.java
+++ b/src/test/java/gladeknot/tasks/AttemptCodecTest.java
@@ -25,8 +25,8 @@
   @Test
   void bothFormsComeBack() {
     for (List<StoredAttempt> attempts : CASES) {
-      assertEquals(attempts, AttemptCodec.read(AttemptCodec.plain(attempts)));
-      assertEquals(attempts, AttemptCodec.read(AttemptCodec.compact(attempts)));
+      assertEquals(attempts, AttemptCodec.decode(AttemptCodec.encodePlain(attempts)));
+      assertEquals(attempts, AttemptCodec.decode(AttemptCodec.encodeCompact(attempts)));
     }
   }
 
@@ -36,8 +36,8 @@
     String stored = "3:16:vm-000231,11:19:vm-000007";
     List<StoredAttempt> attempts =
         List.of(new StoredAttempt(3, 16, "vm-000231"), new StoredAttempt(11, 19, "vm-000007"));
-    assertEquals(attempts, AttemptCodec.read(stored));
-    assertEquals(stored, AttemptCodec.plain(attempts));
+    assertEquals(attempts, AttemptCodec.decode(stored));
+    assertEquals(stored, AttemptCodec.encodePlain(attempts));
   }
 
   @Test
@@ -47,12 +47,12 @@
       attempts.add(
           new StoredAttempt(i, 1000 + 3 * i, String.format("vm-%06d", 100 + i * 37 % 600)));
     }
-    int plain = AttemptCodec.plain(attempts).length();
-    assertTrue(AttemptCodec.compact(attempts).length() * 3 < plain);
+    int plain = AttemptCodec.encodePlain(attempts).length();
+    assertTrue(AttemptCodec.encodeCompact(attempts).length() * 3 < plain);
   }
 
   @Test
   void aCutRecordIsRefused() {
-    assertThrows(IllegalArgumentException.class, () -> AttemptCodec.read("~vm-:6:gA"));
+    assertThrows(IllegalArgumentException.class, () -> AttemptCodec.decode("~vm-:6:gA"));
   }
 }
--- a/src/test/java/gladeknot/tasks/RecordedAttempts.java
+++ b/src/test/java/gladeknot/tasks/RecordedAttempts.java
@@ -18,19 +18,19 @@
 
   /** The attempts of a job in either form. */
   public static List<Recorded> read(String job, String attempts) {
-    return AttemptCodec.read(attempts).stream()
+    return AttemptCodec.decode(attempts).stream()
         .map(attempt -> new Recorded(job + "/" + attempt.task(), attempt.number(), attempt.host()))
         .toList();
   }
 
   /** Attempts in the form that every version reads. */
   public static String plain(List<Recorded> attempts) {
-    return AttemptCodec.plain(stored(attempts));
+    return AttemptCodec.encodePlain(stored(attempts));
   }
 
   /** Attempts in the short form, where that is shorter. */
   public static String compact(List<Recorded> attempts) {
-    return AttemptCodec.compact(stored(attempts));
+    return AttemptCodec.encodeCompact(stored(attempts));
   }
 
   private static List<AttemptCodec.StoredAttempt> stored(List<Recorded> attempts) {
