--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -7,7 +7,7 @@
 import gladeknot.policy.Policy;
 import gladeknot.settings.Features;
 import gladeknot.settings.Settings;
-import gladeknot.state.CopyLag;
+import gladeknot.state.CacheLag;
 import gladeknot.tracing.TaskTracer;
 import java.util.Map;
 import java.util.random.RandomGenerator;
@@ -77,7 +77,7 @@
   }
 
   private Map<String, Object> copyStatus() {
-    CopyLag lag = components.stateStore.lag();
+    CacheLag lag = components.stateStore.lag();
     return Json.of(
         "revision",
         lag.revision(),
--- a/src/main/java/gladeknot/state/CopyLag.java
+++ b/src/main/java/gladeknot/state/CacheLag.java
@@ -9,8 +9,8 @@
  * How far the watch is behind this controller's own commits, which show in the copy at once. As
  * long as it is, the copy may lack earlier commits of other controllers.
  */
-public final class CopyLag {
-  private static final Logger LOG = LoggerFactory.getLogger(CopyLag.class);
+public final class CacheLag {
+  private static final Logger LOG = LoggerFactory.getLogger(CacheLag.class);
   private static final long LOG_INTERVAL_MICROS = 60_000_000;
 
   private record OwnCommit(long revision, long knownMicros) {}
--- a/src/main/java/gladeknot/state/CacheSynchronizer.java
+++ b/src/main/java/gladeknot/state/CacheSynchronizer.java
@@ -41,7 +41,7 @@
   private final StateServiceClient client;
   private final WatchCache cache;
   private final ReadBarriers barriers;
-  private final CopyLag lag;
+  private final CacheLag lag;
   private final ChangeListener listener;
   private final RandomGenerator random;
   private boolean listed;
@@ -63,7 +63,7 @@
       StateServiceClient client,
       WatchCache cache,
       ReadBarriers barriers,
-      CopyLag lag,
+      CacheLag lag,
       ChangeListener listener,
       RandomGenerator random) {
     this.client = client;
--- a/src/main/java/gladeknot/state/StateStore.java
+++ b/src/main/java/gladeknot/state/StateStore.java
@@ -33,7 +33,7 @@
   private final StateServiceClient client;
   private final WatchCache cache = new WatchCache();
   private final ReadBarriers barriers = new ReadBarriers();
-  private final CopyLag lag = new CopyLag();
+  private final CacheLag lag = new CacheLag();
   private final CacheSynchronizer synchronizer;
   private long nowMicros;
 
@@ -63,7 +63,7 @@
   }
 
   /** How far the watch is behind own commits. */
-  public CopyLag lag() {
+  public CacheLag lag() {
     return lag;
   }
 
