--- a/src/main/java/gladeknot/commit/BatchLimits.java
+++ b/src/main/java/gladeknot/commit/BatchLimits.java
@@ -88,7 +88,7 @@
     if (job != null && slice.hasUncommittedStarts() && hasZoneConstraints(job)) {
       additional += slices.ofJob(slice.job()).size();
     }
-    int maxPreconditions = limits.maxConditions(maxOperations());
+    int maxPreconditions = limits.maxPreconditions(maxOperations());
     return batch.slices().isEmpty()
         || batch.preconditions().size() + additional <= maxPreconditions;
   }
--- a/src/main/java/gladeknot/state/TransactionLimits.java
+++ b/src/main/java/gladeknot/state/TransactionLimits.java
@@ -54,7 +54,7 @@
   }
 
   /** The most conditions in one transaction of that many operations at most. */
-  public int maxConditions(int operations) {
+  public int maxPreconditions(int operations) {
     return CONDITIONS_A_CHANGE * operations;
   }
 
--- a/src/test/java/gladeknot/state/TransactionLimitsTest.java
+++ b/src/test/java/gladeknot/state/TransactionLimitsTest.java
@@ -25,7 +25,7 @@
       }
       assertEquals(2048, limits.maxValueBytes());
       assertEquals(4, limits.maxOperations());
-      assertEquals(16, limits.maxConditions(limits.maxOperations()));
+      assertEquals(16, limits.maxPreconditions(limits.maxOperations()));
     }
   }
 
