--- a/src/main/java/gladeknot/state/CacheLag.java
+++ b/src/main/java/gladeknot/state/CacheLag.java
@@ -6,17 +6,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How far the watch is behind this controller's own commits, which show in the copy at once. As
- * long as it is, the copy may lack earlier commits of other controllers.
+ * Measures how far the watch is behind this controller's own commits, which the cache reflects at
+ * once. While the watch is behind, the cache may lack earlier commits of other controllers.
  */
 public final class CacheLag {
   private static final Logger LOG = LoggerFactory.getLogger(CacheLag.class);
   private static final long LOG_INTERVAL_MICROS = 60_000_000;
 
-  private record OwnCommit(long revision, long knownMicros) {}
+  private record OwnCommit(long revision, long committedMicros) {}
 
-  /** The own commits that the watch has not reached, the oldest first. */
-  private final Queue<OwnCommit> unreached = new ArrayDeque<>();
+  /** Commits of this controller that the watch has not reached, the oldest first. */
+  private final Queue<OwnCommit> pendingCommits = new ArrayDeque<>();
 
   private long revision;
   private long newestCommit;
@@ -25,7 +25,10 @@
   private long nextLogMicros;
   private long nowMicros;
 
-  /** Advances the time; logs the longest lag when it has grown, at intervals. */
+  /**
+   * Advances the time. Logs the longest lag if it has changed, at most once per {@link
+   * #LOG_INTERVAL_MICROS}.
+   */
   void tick(long now) {
     nowMicros = now;
     if (now < nextLogMicros || longestMicros() == loggedMicros) {
@@ -40,41 +43,44 @@
         newestCommit);
   }
 
-  /** A transaction of this controller was committed at a revision, as its reply says. */
+  /** Records the revision of a commit of this controller, from the reply to the transaction. */
   void onCommitted(long commitRevision) {
     newestCommit = Math.max(newestCommit, commitRevision);
     if (commitRevision > revision) {
-      unreached.add(new OwnCommit(commitRevision, nowMicros));
+      pendingCommits.add(new OwnCommit(commitRevision, nowMicros));
     }
   }
 
-  /** The watch has reached a revision. */
+  /** Records that the watch has reached a revision. */
   void onRevisionReached(long reachedRevision) {
     revision = reachedRevision;
-    while (!unreached.isEmpty() && unreached.peek().revision() <= reachedRevision) {
-      longestMicros = Math.max(longestMicros, nowMicros - unreached.poll().knownMicros());
+    while (!pendingCommits.isEmpty() && pendingCommits.peek().revision() <= reachedRevision) {
+      longestMicros = Math.max(longestMicros, nowMicros - pendingCommits.poll().committedMicros());
     }
   }
 
-  /** The revision that the watch has reached. */
+  /** Returns the revision that the watch has reached. */
   public long revision() {
     return revision;
   }
 
-  /** The revision of the newest commit of this controller. */
+  /** Returns the revision of the newest commit of this controller. */
   public long newestCommit() {
     return newestCommit;
   }
 
-  /** How many revisions the watch is behind that commit. */
+  /** Returns the number of revisions that the watch is behind {@link #newestCommit}. */
   public long revisionsBehind() {
     return Math.max(0, newestCommit - revision);
   }
 
-  /** The longest time that the watch has taken to reach a commit, the present one included. */
+  /**
+   * Returns the longest time that the watch has taken to reach a commit, including the oldest
+   * commit that it has not reached yet.
+   */
   public long longestMicros() {
-    return unreached.isEmpty()
+    return pendingCommits.isEmpty()
         ? longestMicros
-        : Math.max(longestMicros, nowMicros - unreached.peek().knownMicros());
+        : Math.max(longestMicros, nowMicros - pendingCommits.peek().committedMicros());
   }
 }
--- a/src/main/java/gladeknot/state/CacheSynchronizer.java
+++ b/src/main/java/gladeknot/state/CacheSynchronizer.java
@@ -10,12 +10,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the watch cache current: lists all keys once, then watches them with long polls. A watch
- * whose starting revision the service has compacted leads to a new list.
+ * Keeps the watch cache current: lists all keys once, then watches them with long polls. If the
+ * service has compacted the starting revision of a watch, the keys are listed again.
  *
- * <p>Later pages of a list may show later changes than earlier ones, so that a transaction may show
- * in one of its keys and not yet in another. The cache counts as loaded once the watch has reached
- * the revision of the last page.
+ * <p>Each page of a list may be read at a later revision than the one before it. After such a list,
+ * the cache may contain the changes of a transaction for some of its keys but not for others.
+ * Therefore the cache counts as loaded only once the watch has reached the revision of the last
+ * page.
  */
 final class CacheSynchronizer {
   private static final Logger LOG = LoggerFactory.getLogger(CacheSynchronizer.class);
@@ -24,18 +25,18 @@
   private static final int LIST_PAGE_SIZE = 400;
   private static final int WATCH_WAIT_MILLIS = 8_000;
 
-  /** How much longer than a watch may wait its answer is waited for. */
-  private static final long WATCH_MARGIN_MICROS = 4_000_000;
+  /** Time by which the timeout of a watch exceeds the time that the service may wait for events. */
+  private static final long WATCH_TIMEOUT_MARGIN_MICROS = 4_000_000;
 
-  private static final long MICROS_A_MILLI = 1000;
+  private static final long MICROS_PER_MILLI = 1000;
 
-  /** Between two watches. */
+  /** Minimum interval between the reply to a watch and the next watch. */
   private static final long WATCH_INTERVAL_MICROS = 110_000;
 
-  /** Until the next attempt after one that failed, with a random part. */
-  private static final long BACK_OFF_MICROS = 200_000;
+  /** Backoff after a failed list or watch, to which a random jitter is added. */
+  private static final long BACKOFF_MICROS = 200_000;
 
-  private static final int BACK_OFF_JITTER_MICROS = 300_000;
+  private static final int BACKOFF_JITTER_MICROS = 300_000;
   private static final long UNKNOWN_REVISION = -1;
 
   private final StateServiceClient client;
@@ -51,10 +52,10 @@
   private long nextWatchMicros;
   private TreeMap<String, Entry> listedEntries;
 
-  /** The revision of the first page: the cache holds at least all changes up to it. */
+  /** Revision of the first page. The cache holds all changes up to it. */
   private long listedRevision;
 
-  /** The revision of the last page: the cache may hold changes up to it. */
+  /** Revision of the last page. The cache may hold changes up to it. */
   private long lastPageRevision;
 
   private long nowMicros;
@@ -74,12 +75,15 @@
     this.random = random;
   }
 
-  /** Whether the cache holds all keys and is being watched. */
+  /**
+   * Returns whether all keys have been listed and the watch has reached the revision of the last
+   * page.
+   */
   boolean loaded() {
     return listed && cache.revision() >= lastPageRevision;
   }
 
-  /** Starts a list or a watch when it is time. */
+  /** Starts a list or a watch when one is due. */
   void tick(long now) {
     nowMicros = now;
     if (!listed && !listing && now >= backOffUntilMicros) {
@@ -140,18 +144,20 @@
   }
 
   private void backOff() {
-    backOffUntilMicros = nowMicros + BACK_OFF_MICROS + random.nextInt(BACK_OFF_JITTER_MICROS);
+    backOffUntilMicros = nowMicros + BACKOFF_MICROS + random.nextInt(BACKOFF_JITTER_MICROS);
   }
 
   private void watch() {
     watching = true;
-    // After a list in pages the revision is wanted, whether or not there are changes of these keys.
+    // While the cache is not loaded, the service must answer at once: its revision is needed
+    // whether
+    // or not any of these keys has changed.
     int waitMillis = loaded() ? WATCH_WAIT_MILLIS : 0;
     client.callUnthrottled(
         "GET",
         StateServiceCodec.watchPath(StateStore.ROOT, cache.revision(), waitMillis),
         null,
-        waitMillis * MICROS_A_MILLI + WATCH_MARGIN_MICROS,
+        waitMillis * MICROS_PER_MILLI + WATCH_TIMEOUT_MARGIN_MICROS,
         this::onWatchReply);
   }
 
@@ -168,8 +174,9 @@
     WatchReply watched = StateServiceCodec.watchReply(reply);
     listener.onChanges(cache.applyEvents(watched.events()));
     cache.advanceTo(watched.revision().orElse(cache.revision()));
-    // Every change of every controller ends a watch: started again at once, watches alone would
-    // use up the requests that transactions need.
+    // Every change by any controller ends a watch. Without this interval, watches alone would use
+    // up
+    // the request rate that transactions need.
     nextWatchMicros = nowMicros + WATCH_INTERVAL_MICROS;
     onRevisionReached();
   }
@@ -179,8 +186,8 @@
       return;
     }
     lag.onRevisionReached(cache.revision());
-    // The listener first: what waited for the revision may rely on what it takes in.
+    // Notify the listener first: the barriers' callbacks may rely on what it has processed.
     listener.onRevisionReached();
-    barriers.reached(cache.revision());
+    barriers.onRevisionReached(cache.revision());
   }
 }
--- a/src/main/java/gladeknot/state/ChangeListener.java
+++ b/src/main/java/gladeknot/state/ChangeListener.java
@@ -2,11 +2,14 @@
 
 import java.util.List;
 
-/** Is notified of every change of the watch cache, and of the revisions that the watch reaches. */
+/** Listener for changes of the watch cache and for the revisions that the watch reaches. */
 public interface ChangeListener {
-  /** Changes that arrived together; the cache reflects all of them already. */
+  /** Called with changes that arrived together. The cache already reflects all of them. */
   void onChanges(List<Change> changes);
 
-  /** The cache holds all changes up to a new revision; those up to it have been notified. */
+  /**
+   * Called when the cache holds all changes up to a new revision. {@link #onChanges} has already
+   * been called for all of them.
+   */
   default void onRevisionReached() {}
 }
--- a/src/main/java/gladeknot/state/CommitOutcome.java
+++ b/src/main/java/gladeknot/state/CommitOutcome.java
@@ -5,9 +5,9 @@
 /**
  * The outcome of a transaction.
  *
- * @param status how it ended
- * @param revision the revision at which it was executed, or for a conflict the one at which its
- *     conditions were evaluated; -1 if the service named none
- * @param conflictingKeys for a conflict, the keys whose condition failed; empty otherwise
+ * @param status the result of the transaction
+ * @param revision the revision at which the transaction was executed or, for a conflict, at which
+ *     its preconditions were evaluated; -1 if the service returned none
+ * @param conflictingKeys for a conflict, the keys whose preconditions failed; empty otherwise
  */
 public record CommitOutcome(CommitStatus status, long revision, List<String> conflictingKeys) {}
--- a/src/main/java/gladeknot/state/CommitStatus.java
+++ b/src/main/java/gladeknot/state/CommitStatus.java
@@ -1,17 +1,17 @@
 package gladeknot.state;
 
-/** How a transaction ended. */
+/** The result of a transaction. */
 public enum CommitStatus {
   /** Executed. */
   COMMITTED,
-  /** Not executed: a condition failed. */
+  /** Not executed: a precondition failed. */
   CONFLICT,
-  /** Not executed: the service is out of order. */
+  /** Not executed: the service is unavailable. */
   UNAVAILABLE,
-  /** Not executed: all controllers together exceed the rate limit. */
+  /** Not executed: the controllers together exceed the rate limit. */
   THROTTLED,
   /** Not executed: the lease to attach to has expired, or the request was malformed. */
   REJECTED,
-  /** No answer: it may have been executed, or may still be. */
+  /** No answer: the transaction may have been executed or may still be executed. */
   UNKNOWN
 }
--- a/src/main/java/gladeknot/state/LeaseRenewal.java
+++ b/src/main/java/gladeknot/state/LeaseRenewal.java
@@ -1,11 +1,11 @@
 package gladeknot.state;
 
-/** How the renewal of a lease of the state service ended. */
+/** The result of renewing a lease of the state service. */
 public enum LeaseRenewal {
-  /** The lease lasts its whole time from when the renewal was sent. */
+  /** The lease is valid for its full duration, counted from the sending of the renewal. */
   RENEWED,
-  /** There is no such lease any more. */
+  /** The lease no longer exists. */
   EXPIRED,
-  /** Nothing is known: no answer came, or the service could not serve. */
+  /** The result is not known: there was no answer, or the service was unavailable. */
   UNKNOWN
 }
--- a/src/main/java/gladeknot/state/Mutation.java
+++ b/src/main/java/gladeknot/state/Mutation.java
@@ -10,17 +10,17 @@
  * @param leaseId the lease of the state service that the key is attached to, or 0 for none
  */
 public record Mutation(String key, Map<String, Object> data, long leaseId) {
-  /** Stores an object under a key that is attached to no lease. */
+  /** Returns a mutation that stores an object under a key without a lease. */
   public static Mutation put(String key, Map<String, Object> data) {
     return new Mutation(key, data, 0);
   }
 
-  /** Removes a key. */
+  /** Returns a mutation that deletes a key. */
   public static Mutation delete(String key) {
     return new Mutation(key, null, 0);
   }
 
-  /** Whether the key is removed rather than written. */
+  /** Returns whether the mutation deletes the key. */
   boolean isDelete() {
     return data == null;
   }
--- a/src/main/java/gladeknot/state/ReadBarriers.java
+++ b/src/main/java/gladeknot/state/ReadBarriers.java
@@ -5,38 +5,39 @@
 import java.util.OptionalLong;
 
 /**
- * What waits for the watch cache to be as recent as some moment or some revision. A barrier is
- * requested, then shares one read with others, then waits until the cache has reached the revision
- * that was read.
+ * Callbacks that wait until the watch cache is as recent as a point in time or a revision. A
+ * barrier for a point in time is first queued, then shares one read of the store's revision with
+ * other barriers, then waits until the cache has reached that revision.
  */
 final class ReadBarriers {
-  /** How long a barrier waits until it has failed. */
-  static final long WAIT_MICROS = 1_500_000;
+  /** Time after which a barrier fails. */
+  static final long TIMEOUT_MICROS = 1_500_000;
 
-  /** Between two reads. */
+  /** Minimum interval between two reads. */
   private static final long READ_INTERVAL_MICROS = 300_000;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
   private static final long UNKNOWN = -1;
 
-  /** Something that waits, and what runs when it has waited too long. */
+  /** A callback with a deadline, and the callback to run instead if the barrier fails. */
   static final class Barrier {
-    private final Runnable fresh;
-    private final Runnable failed;
+    private final Runnable onFresh;
+    private final Runnable onFailed;
     private final long deadlineMicros;
     private long revision = UNKNOWN;
     private long sentMicros = NEVER;
 
-    private Barrier(Runnable fresh, Runnable failed, long deadlineMicros) {
-      this.fresh = fresh;
-      this.failed = failed;
+    private Barrier(Runnable onFresh, Runnable onFailed, long deadlineMicros) {
+      this.onFresh = onFresh;
+      this.onFailed = onFailed;
       this.deadlineMicros = deadlineMicros;
     }
   }
 
-  /** Something that waits for a revision without a deadline. */
-  private record RevisionWaiter(long revision, Runnable then) {}
+  /** A callback that waits for a revision without a deadline. */
+  private record RevisionWaiter(long revision, Runnable callback) {}
 
+  /** Barriers for which no read has been sent. */
   private final List<Barrier> requested = new ArrayList<>();
 
   /** Barriers whose revision is known. */
@@ -47,37 +48,45 @@
   private long lastReadMicros = NEVER;
   private long currentAsOfMicros = NEVER;
 
-  /** When the cache is known to have been current. */
+  /** Returns the latest time at which the cache is known to have been current. */
   long currentAsOfMicros() {
     return currentAsOfMicros;
   }
 
-  /** Requests a barrier at this moment. */
-  void request(Runnable fresh, Runnable failed, long nowMicros) {
-    requested.add(new Barrier(fresh, failed, nowMicros + WAIT_MICROS));
+  /**
+   * Requests a barrier for the current time: runs {@code onFresh} once the cache is known to hold
+   * all changes up to now, or {@code onFailed} if the read fails or the barrier times out.
+   */
+  void request(Runnable onFresh, Runnable onFailed, long nowMicros) {
+    requested.add(new Barrier(onFresh, onFailed, nowMicros + TIMEOUT_MICROS));
   }
 
-  /** Runs something once the cache has reached a revision, however long that takes. */
-  void whenRevisionReached(long revision, Runnable then) {
-    revisionWaiters.add(new RevisionWaiter(revision, then));
+  /** Runs a callback once the cache has reached a revision, without a deadline. */
+  void whenRevisionReached(long revision, Runnable callback) {
+    revisionWaiters.add(new RevisionWaiter(revision, callback));
   }
 
-  /** Runs {@code then} once the cache has reached a revision, or else soon {@code failed}. */
-  void whenRevisionReached(long revision, Runnable then, Runnable failed, long nowMicros) {
-    // It proves nothing of how recent the cache is: nothing was read for it.
-    Barrier barrier = new Barrier(then, failed, nowMicros + WAIT_MICROS);
+  /**
+   * Runs {@code callback} once the cache has reached a revision, or {@code onFailed} if this takes
+   * longer than {@link #TIMEOUT_MICROS}.
+   */
+  void whenRevisionReached(long revision, Runnable callback, Runnable onFailed, long nowMicros) {
+    // sentMicros stays unset: no read was sent for this barrier, so that it does not prove how
+    // recent
+    // the cache is.
+    Barrier barrier = new Barrier(callback, onFailed, nowMicros + TIMEOUT_MICROS);
     barrier.revision = revision;
     waiting.add(barrier);
   }
 
-  /** Whether a read is to be sent. */
-  boolean wantRead(long nowMicros) {
+  /** Returns whether a read is due. */
+  boolean readDue(long nowMicros) {
     return !requested.isEmpty()
         && !readInFlight
         && nowMicros - lastReadMicros >= READ_INTERVAL_MICROS;
   }
 
-  /** A read is sent now; returns the barriers that share it. */
+  /** Records that a read is sent, and returns the barriers that share it. */
   List<Barrier> startRead(long nowMicros) {
     readInFlight = true;
     lastReadMicros = nowMicros;
@@ -87,39 +96,43 @@
     return batch;
   }
 
-  /** A read has ended with the revision that it showed, or without one. */
+  /**
+   * Handles the end of a read.
+   *
+   * @param readRevision the store's revision according to the read; empty if the read failed
+   */
   void finishRead(List<Barrier> batch, OptionalLong readRevision, long cacheRevision) {
     readInFlight = false;
     if (readRevision.isEmpty()) {
-      batch.forEach(barrier -> barrier.failed.run());
+      batch.forEach(barrier -> barrier.onFailed.run());
       return;
     }
     batch.forEach(barrier -> barrier.revision = readRevision.getAsLong());
     waiting.addAll(batch);
-    reached(cacheRevision);
+    onRevisionReached(cacheRevision);
   }
 
-  /** The cache has reached a revision. */
-  void reached(long revision) {
+  /** Runs the callbacks that wait for a revision up to the given one. */
+  void onRevisionReached(long revision) {
     if (!revisionWaiters.isEmpty()) {
-      List<RevisionWaiter> due =
+      List<RevisionWaiter> reachedWaiters =
           revisionWaiters.stream().filter(waiter -> waiter.revision() <= revision).toList();
-      revisionWaiters.removeAll(due);
-      due.forEach(waiter -> waiter.then().run());
+      revisionWaiters.removeAll(reachedWaiters);
+      reachedWaiters.forEach(waiter -> waiter.callback().run());
     }
     if (waiting.isEmpty()) {
       return;
     }
-    List<Barrier> done =
+    List<Barrier> reached =
         waiting.stream().filter(b -> b.revision >= 0 && b.revision <= revision).toList();
-    waiting.removeAll(done);
-    for (Barrier barrier : done) {
+    waiting.removeAll(reached);
+    for (Barrier barrier : reached) {
       currentAsOfMicros = Math.max(currentAsOfMicros, barrier.sentMicros);
-      barrier.fresh.run();
+      barrier.onFresh.run();
     }
   }
 
-  /** Fails what has waited for too long. */
+  /** Fails the barriers whose deadlines have passed. */
   void expire(long nowMicros) {
     expire(requested, nowMicros);
     expire(waiting, nowMicros);
@@ -129,11 +142,11 @@
     if (barriers.isEmpty()) {
       return;
     }
-    List<Barrier> late = barriers.stream().filter(b -> b.deadlineMicros <= nowMicros).toList();
-    if (late.isEmpty()) {
+    List<Barrier> expired = barriers.stream().filter(b -> b.deadlineMicros <= nowMicros).toList();
+    if (expired.isEmpty()) {
       return;
     }
-    barriers.removeAll(late);
-    late.forEach(barrier -> barrier.failed.run());
+    barriers.removeAll(expired);
+    expired.forEach(barrier -> barrier.onFailed.run());
   }
 }
--- a/src/main/java/gladeknot/state/RequestLimits.java
+++ b/src/main/java/gladeknot/state/RequestLimits.java
@@ -3,23 +3,26 @@
 import gladeknot.settings.Settings;
 
 /**
- * This controller's share of the request and write rates that the state service grants to all
+ * This controller's part of the request and write rates that the state service grants to all
  * controllers together.
  */
 final class RequestLimits {
-  /** A controller's writes may exceed an even share by this factor. */
+  /** Factor by which a controller's write rate may exceed an even share. */
   private static final double WRITE_SHARE_FACTOR = 2.0;
 
-  /** The part of the service's rates that all together use; clocks and bursts take the rest. */
-  private static final double MAX_SHARE = 0.92;
+  /**
+   * Part of the service's rates that all controllers together use. The remainder is a margin for
+   * bursts and for differences between clocks.
+   */
+  private static final double TOTAL_SHARE = 0.92;
 
-  /** Requests that a transaction leaves to reads. */
-  private static final double REQUESTS_KEPT_BY_WRITES = 2;
+  /** Number of request tokens that a transaction leaves for reads. */
+  private static final double REQUESTS_RESERVED_FOR_READS = 2;
 
-  /** Requests that a read leaves to lease renewals. */
-  private static final double REQUESTS_KEPT_BY_READS = 1;
+  /** Number of request tokens that a read leaves for lease renewals. */
+  private static final double REQUESTS_RESERVED_FOR_RENEWALS = 1;
 
-  /** The writes of the smallest transaction that a claim of a task needs. */
+  /** Number of writes in the smallest transaction that claims a task. */
   private static final int MIN_BURST_WRITES = 2;
 
   private final TransactionLimits limits;
@@ -29,21 +32,22 @@
   private double writesPerSecond;
   private long nowMicros;
 
-  /** Full buckets. */
+  /** Creates limits with full token buckets. */
   RequestLimits(Settings settings, TransactionLimits limits) {
     this.limits = limits;
-    double evenShare = MAX_SHARE / settings.nodes().size();
+    double evenShare = TOTAL_SHARE / settings.nodes().size();
     double requestsPerSecond = settings.stateLimits().rps() * evenShare;
-    // Writes come in bursts at one controller or the other: each may exceed an even share, and
-    // backs off when the service reports that all together were too many.
-    this.writeShare = Math.min(MAX_SHARE, evenShare * WRITE_SHARE_FACTOR);
+    // Writes come in bursts, at one controller at a time. Therefore each controller may exceed an
+    // even share. It backs off when the service reports that all controllers together are over the
+    // limit.
+    this.writeShare = Math.min(TOTAL_SHARE, evenShare * WRITE_SHARE_FACTOR);
     this.writesPerSecond = limits.writesPerSecond();
     double ownWritesPerSecond = writesPerSecond * writeShare;
     this.requests = new TokenBucket(requestsPerSecond, requestsPerSecond);
     this.writes = new TokenBucket(ownWritesPerSecond, ownWritesPerSecond);
   }
 
-  /** Advances the time, and follows a change of the limits in force. */
+  /** Advances the time and applies changes of the limits in force. */
   void tick(long now) {
     nowMicros = now;
     if (writesPerSecond != limits.writesPerSecond()) {
@@ -52,32 +56,44 @@
     }
   }
 
-  /** Takes the tokens of one transaction, leaving a share of the burst to more urgent ones. */
-  boolean tryAcquireWrites(int count, double keepShare) {
-    double keep = keepShare * writes.burst();
-    return requests.tryAcquire(1, REQUESTS_KEPT_BY_WRITES, nowMicros)
-        && writes.tryAcquire(count, keep, nowMicros);
+  /**
+   * Takes the tokens of one transaction if there are enough.
+   *
+   * @param reservedShare the part of the burst, 0 to 1, that is left for more urgent transactions
+   * @return whether there were enough tokens
+   */
+  boolean tryAcquireWrites(int count, double reservedShare) {
+    double reserved = reservedShare * writes.burst();
+    return requests.tryAcquire(1, REQUESTS_RESERVED_FOR_READS, nowMicros)
+        && writes.tryAcquire(count, reserved, nowMicros);
   }
 
-  /** How many writes there are tokens for, leaving a share of the burst to more urgent ones. */
-  int availableWrites(double keepShare) {
-    int available = (int) writes.available(keepShare * writes.burst(), nowMicros);
-    // However small the bucket is, a claim's two writes must be possible at some time.
+  /**
+   * Returns the number of writes for which there are tokens.
+   *
+   * @param reservedShare the part of the burst, 0 to 1, that is left for more urgent transactions
+   */
+  int availableWrites(double reservedShare) {
+    int available = (int) writes.available(reservedShare * writes.burst(), nowMicros);
+    // Even with a small bucket, the two writes of a claim must eventually be possible.
     boolean full = writes.available(0, nowMicros) >= writes.burst();
     return full ? Math.max(MIN_BURST_WRITES, available) : available;
   }
 
-  /** Takes the token of one read if there is one. */
+  /** Takes the token of one read if there is one, and returns whether there was. */
   boolean tryAcquireRead() {
-    return requests.tryAcquire(1, REQUESTS_KEPT_BY_READS, nowMicros);
+    return requests.tryAcquire(1, REQUESTS_RESERVED_FOR_RENEWALS, nowMicros);
   }
 
-  /** Takes the token of one request that must not wait, even if there is none. */
+  /** Takes the token of one request that must not wait, even if there is no token. */
   void forceAcquireRequest() {
     requests.forceAcquire(1, nowMicros);
   }
 
-  /** The service has refused a request because all controllers together send too many. */
+  /**
+   * Empties the token buckets after the service has refused a request because all controllers
+   * together send too many.
+   */
   void onThrottled() {
     requests.drain(nowMicros);
     writes.drain(nowMicros);
--- a/src/main/java/gladeknot/state/StateServiceClient.java
+++ b/src/main/java/gladeknot/state/StateServiceClient.java
@@ -2,7 +2,7 @@
 
 import gladeknot.outbox.Outbox;
 
-/** Sends requests to the state service and backs off when it throttles. */
+/** Sends requests to the state service and reports throttling to the request limits. */
 final class StateServiceClient {
   private final String address;
   private final Outbox outbox;
@@ -14,7 +14,7 @@
     this.requestLimits = requestLimits;
   }
 
-  /** Sends a request whose tokens the caller has acquired; {@code body} may be null. */
+  /** Sends a request for which the caller has acquired the tokens; {@code body} may be null. */
   void call(
       String method, String path, Object body, long timeoutMicros, Outbox.ReplyHandler handler) {
     outbox.call(
--- a/src/main/java/gladeknot/state/StateServiceCodec.java
+++ b/src/main/java/gladeknot/state/StateServiceCodec.java
@@ -7,104 +7,113 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** Reads, watches and leases of the state service as they go over the wire. */
+/** Codec for the reads, watches and lease requests of the state service's protocol. */
 final class StateServiceCodec {
-  /** Status codes that decide something. */
+  /** HTTP status codes that are handled specially. */
   static final int OK = 200;
 
   static final int NOT_FOUND = 404;
   static final int COMPACTED = 410;
   static final int TOO_MANY_REQUESTS = 429;
 
-  /** Collection of leases; a POST grants one. */
+  /** Path of the collection of leases; a POST grants a lease. */
   static final String LEASES_PATH = "/holds";
 
-  private static final String EPOCH = "epoch";
-  private static final String STAMP = "stamp";
+  private static final String REVISION = "epoch";
+  private static final String MOD_REVISION = "stamp";
   private static final String DATA = "data";
-  private static final String GRANT = "grant";
-  private static final long MICROS_A_MILLI = 1000;
+  private static final String LEASE_ID = "grant";
+  private static final long MICROS_PER_MILLI = 1000;
 
-  /** One key with its entry, as a list shows it. */
+  /** One key of a list with its entry. */
   record ListedKey(String key, Entry entry) {}
 
-  /** One page of a list; {@code revision} is the one at which it was read. */
+  /** One page of a list; {@code revision} is the revision at which the page was read. */
   record ListPage(long revision, List<ListedKey> keys, boolean more) {}
 
-  /** One event of a watch; {@code key} is null for a kind of event that is not known. */
+  /** One event of a watch; {@code key} is null if the kind of event is not known. */
   record WatchEvent(String key, Map<String, Object> data, long modRevision) {}
 
-  /** The events of a watch; without a revision of its own the service names none. */
+  /** The events of a watch; {@code revision} is empty if the reply does not contain a revision. */
   record WatchReply(List<WatchEvent> events, OptionalLong revision) {}
 
   private StateServiceCodec() {}
 
-  /** Path of a list of keys with a prefix, after a key that is left out; empty for the first. */
+  /**
+   * Returns the path of a page of the list of keys with a prefix.
+   *
+   * @param afterKey the key after which the page begins; empty for the first page
+   */
   static String listPath(String prefix, String afterKey, int limit) {
     String after = afterKey.isEmpty() ? "" : "&from=" + afterKey;
     return "/kv?starts=" + prefix + after + "&most=" + limit;
   }
 
-  /** Path of a watch of the keys with a prefix, from the revision after the given one. */
+  /**
+   * Returns the path of a watch of the keys with a prefix, for changes after the given revision.
+   */
   static String watchPath(String prefix, long afterRevision, int waitMillis) {
     return "/follow?starts=" + prefix + "&from=" + afterRevision + "&waitMs=" + waitMillis;
   }
 
-  /** Path of one key. */
+  /** Returns the path of one key. */
   static String keyPath(String key) {
     return "/kv/" + key;
   }
 
-  /** Path that renews a lease with a POST. */
+  /** Returns the path of a POST that renews a lease. */
   static String renewalPath(long leaseId) {
     return LEASES_PATH + "/" + leaseId + "/extend";
   }
 
-  /** Body of the request for a lease. */
+  /** Returns the body of a request for a lease. */
   static Map<String, Object> leaseRequest(long ttlMicros) {
-    return Json.of("ttlMs", ttlMicros / MICROS_A_MILLI);
+    return Json.of("ttlMs", ttlMicros / MICROS_PER_MILLI);
   }
 
-  /** The identifier of the lease that was granted; 0 if the reply names none. */
+  /** Returns the identifier of the granted lease, or 0 if the reply contains none. */
   static long grantedLease(Outbox.Reply reply) {
-    return Json.num(reply.object(), GRANT, 0);
+    return Json.num(reply.object(), LEASE_ID, 0);
   }
 
-  /** A page of a list, by a reply with status 200. */
+  /** Decodes a page of a list from a reply with status 200. */
   static ListPage listPage(Outbox.Reply reply) {
     Map<String, Object> body = reply.object();
     List<ListedKey> keys = new ArrayList<>();
     for (Map<String, Object> item : Json.objects(body, "items")) {
-      Entry entry = new Entry(Json.map(item.get(DATA)), Json.num(item, STAMP, 0));
+      Entry entry = new Entry(Json.map(item.get(DATA)), Json.num(item, MOD_REVISION, 0));
       keys.add(new ListedKey(Json.text(item, "path"), entry));
     }
-    return new ListPage(Json.num(body, EPOCH, 0), keys, Json.flag(body, "more"));
+    return new ListPage(Json.num(body, REVISION, 0), keys, Json.flag(body, "more"));
   }
 
-  /** The events of a watch, by a reply with status 200. */
+  /** Decodes the events of a watch from a reply with status 200. */
   static WatchReply watchReply(Outbox.Reply reply) {
     Map<String, Object> body = reply.object();
     List<WatchEvent> events = new ArrayList<>();
     for (Map<String, Object> event : Json.objects(body, "events")) {
       events.add(watchEvent(event));
     }
-    boolean named = body.get(EPOCH) instanceof Number;
+    boolean hasRevision = body.get(REVISION) instanceof Number;
     return new WatchReply(
-        events, named ? OptionalLong.of(Json.num(body, EPOCH, 0)) : OptionalLong.empty());
+        events, hasRevision ? OptionalLong.of(Json.num(body, REVISION, 0)) : OptionalLong.empty());
   }
 
   private static WatchEvent watchEvent(Map<String, Object> event) {
-    long modRevision = Json.num(event, STAMP, 0);
-    String written = Json.text(event, "write");
-    if (written == null) {
+    long modRevision = Json.num(event, MOD_REVISION, 0);
+    String writtenKey = Json.text(event, "write");
+    if (writtenKey == null) {
       return new WatchEvent(Json.text(event, "delete"), null, modRevision);
     }
-    return new WatchEvent(written, Json.map(event.get(DATA)), modRevision);
+    return new WatchEvent(writtenKey, Json.map(event.get(DATA)), modRevision);
   }
 
-  /** The store's revision, by the reply to a read of a key that never exists; empty if unknown. */
+  /**
+   * Decodes the store's revision from the reply to a read of a key that never exists; empty if the
+   * reply does not contain it.
+   */
   static OptionalLong revisionOfAbsentKey(Outbox.Reply reply) {
-    long revision = reply.status() == NOT_FOUND ? Json.num(reply.object(), EPOCH, -1) : -1;
+    long revision = reply.status() == NOT_FOUND ? Json.num(reply.object(), REVISION, -1) : -1;
     return revision < 0 ? OptionalLong.empty() : OptionalLong.of(revision);
   }
 }
--- a/src/main/java/gladeknot/state/StateStore.java
+++ b/src/main/java/gladeknot/state/StateStore.java
@@ -12,16 +12,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The client of the state service: the watch cache, transactions, leases, and the read barrier that
- * proves that the cache is as recent as some moment.
+ * Client of the state service: the watch cache, transactions, leases, and the read barrier, which
+ * proves that the cache is as recent as a point in time.
  */
 public final class StateStore {
   private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
 
-  /** All keys lie under one prefix, so that one watch sees every change. */
+  /** Common prefix of all keys, so that one watch covers every change. */
   public static final String ROOT = "g/";
 
-  /** A key that is never written: a read of it shows the store's revision alone. */
+  /** Key that is never written. A read of this key returns only the store's revision. */
   private static final String BARRIER_KEY = ROOT + "-";
 
   private static final long COMMIT_TIMEOUT_MICROS = 2_500_000;
@@ -37,7 +37,7 @@
   private final CacheSynchronizer synchronizer;
   private long nowMicros;
 
-  /** A client that has read nothing yet. */
+  /** Creates a client with an empty cache. */
   public StateStore(
       Settings settings, Outbox outbox, RandomGenerator random, ChangeListener listener) {
     this.listener = listener;
@@ -47,67 +47,81 @@
     this.synchronizer = new CacheSynchronizer(client, cache, barriers, lag, listener, random);
   }
 
-  /** What transactions and values may hold. */
+  /** Returns the size limits of transactions and values. */
   public TransactionLimits limits() {
     return limits;
   }
 
-  /** Whether the cache holds all keys and is being watched. */
+  /**
+   * Returns whether all keys have been listed and the watch has reached the revision of the last
+   * page of the list.
+   */
   public boolean loaded() {
     return synchronizer.loaded();
   }
 
-  /** The store's revision up to which the cache holds all changes. */
+  /** Returns the revision up to which the cache holds all changes. */
   public long revision() {
     return cache.revision();
   }
 
-  /** How far the watch is behind own commits. */
+  /** Returns the lag of the watch behind this controller's own commits. */
   public CacheLag lag() {
     return lag;
   }
 
-  /** When the cache is known to have been current, in microseconds of the steady clock. */
+  /**
+   * Returns the latest time at which the cache is known to have been current, in microseconds of
+   * the steady clock.
+   */
   public long currentAsOfMicros() {
     return barriers.currentAsOfMicros();
   }
 
-  /** The cached entry of a key; null if there is none. */
+  /** Returns the cached entry of a key, or null if there is none. */
   public Entry get(String key) {
     return cache.get(key);
   }
 
-  /** The revision of a key's last change in the cache; 0 if there is no such key. */
+  /**
+   * Returns the revision of the last change of a key in the cache, or 0 if there is no such key.
+   */
   public long modRevision(String key) {
     return cache.modRevision(key);
   }
 
-  /** A live view of the cached entries whose keys have a prefix. */
+  /** Returns a live view of the cached entries whose keys have a prefix. */
   public SortedMap<String, Entry> withPrefix(String prefix) {
     return cache.withPrefix(prefix);
   }
 
   /**
-   * Takes the tokens of one transaction with so many writes; returns whether there were enough.
+   * Takes the tokens of one transaction if there are enough.
    *
-   * @param keepShare the part of the burst, 0 to 1, that is left to more urgent transactions
+   * @param count the number of writes in the transaction
+   * @param reservedShare the part of the burst, 0 to 1, that is left for more urgent transactions
+   * @return whether there were enough tokens
    */
-  public boolean tryAcquireWrites(int count, double keepShare) {
-    return requestLimits.tryAcquireWrites(count, keepShare);
+  public boolean tryAcquireWrites(int count, double reservedShare) {
+    return requestLimits.tryAcquireWrites(count, reservedShare);
   }
 
-  /** How many writes there are tokens for, leaving a share of the burst to more urgent ones. */
-  public int availableWrites(double keepShare) {
-    return requestLimits.availableWrites(keepShare);
+  /**
+   * Returns the number of writes for which there are tokens.
+   *
+   * @param reservedShare the part of the burst, 0 to 1, that is left for more urgent transactions
+   */
+  public int availableWrites(double reservedShare) {
+    return requestLimits.availableWrites(reservedShare);
   }
 
-  /** Advances the time, lists, watches, and reads for the barriers, each when it is time. */
+  /** Advances the time, and starts the lists, watches and barrier reads that are due. */
   public void tick(long now) {
     nowMicros = now;
     lag.tick(now);
     requestLimits.tick(now);
     synchronizer.tick(now);
-    if (loaded() && barriers.wantRead(now) && requestLimits.tryAcquireRead()) {
+    if (loaded() && barriers.readDue(now) && requestLimits.tryAcquireRead()) {
       readForBarriers();
     }
     barriers.expire(now);
@@ -119,51 +133,54 @@
         "GET",
         StateServiceCodec.keyPath(BARRIER_KEY),
         null,
-        ReadBarriers.WAIT_MICROS,
+        ReadBarriers.TIMEOUT_MICROS,
         reply ->
             barriers.finishRead(
                 batch, StateServiceCodec.revisionOfAbsentKey(reply), cache.revision()));
   }
 
-  /** Runs something once the cache has reached a revision, however long that takes. */
-  public void whenRevisionReached(long wanted, Runnable then) {
-    if (loaded() && cache.revision() >= wanted) {
-      then.run();
+  /** Runs a callback once the cache has reached a revision, without a deadline. */
+  public void whenRevisionReached(long targetRevision, Runnable callback) {
+    if (loaded() && cache.revision() >= targetRevision) {
+      callback.run();
     } else {
-      barriers.whenRevisionReached(wanted, then);
+      barriers.whenRevisionReached(targetRevision, callback);
     }
   }
 
-  /** Runs {@code then} once the cache has reached a revision, or else soon {@code failed}. */
-  public void whenRevisionReached(long wanted, Runnable then, Runnable failed) {
-    if (loaded() && cache.revision() >= wanted) {
-      then.run();
+  /**
+   * Runs {@code callback} once the cache has reached a revision, or {@code onFailed} if this takes
+   * longer than the timeout of a barrier.
+   */
+  public void whenRevisionReached(long targetRevision, Runnable callback, Runnable onFailed) {
+    if (loaded() && cache.revision() >= targetRevision) {
+      callback.run();
     } else {
-      barriers.whenRevisionReached(wanted, then, failed, nowMicros);
+      barriers.whenRevisionReached(targetRevision, callback, onFailed, nowMicros);
     }
   }
 
   /**
-   * Runs one of two things: {@code fresh} once the cache is as recent as this moment, {@code
-   * failed} when that can't be proved soon. Many barriers share one read.
+   * Runs {@code onFresh} once the cache is known to hold all changes up to now, or {@code onFailed}
+   * if this can't be proved before the timeout of a barrier. Many barriers share one read.
    */
-  public void readBarrier(Runnable fresh, Runnable failed) {
-    barriers.request(fresh, failed, nowMicros);
+  public void readBarrier(Runnable onFresh, Runnable onFailed) {
+    barriers.request(onFresh, onFailed, nowMicros);
   }
 
   /**
-   * Sends a transaction. The caller acquires its tokens, see {@link #tryAcquireWrites}.
+   * Sends a transaction. The caller must have acquired its tokens, see {@link #tryAcquireWrites}.
    *
-   * @param conditions the revision that each of these keys must have; 0 for an absent key
+   * @param preconditions the revisions that keys must have, by key; 0 for an absent key
    */
   public void commit(
-      Map<String, Long> conditions, List<Mutation> mutations, Consumer<CommitOutcome> then) {
+      Map<String, Long> preconditions, List<Mutation> mutations, Consumer<CommitOutcome> callback) {
     client.call(
         "POST",
         TransactionCodec.PATH,
-        TransactionCodec.body(conditions, mutations),
+        TransactionCodec.body(preconditions, mutations),
         COMMIT_TIMEOUT_MICROS,
-        reply -> then.accept(onCommitReply(reply, mutations)));
+        reply -> callback.accept(onCommitReply(reply, mutations)));
   }
 
   private CommitOutcome onCommitReply(Outbox.Reply reply, List<Mutation> mutations) {
@@ -175,7 +192,7 @@
       }
       case REJECTED -> onRejected(reply, mutations);
       case CONFLICT, UNAVAILABLE, THROTTLED, UNKNOWN -> {
-        // Nothing is known to have changed.
+        // No change is known.
       }
     }
     return outcome;
@@ -192,32 +209,32 @@
   }
 
   /**
-   * Asks for a lease; never waits for tokens.
+   * Requests a lease; never waits for tokens.
    *
-   * @param then takes the lease's identifier, or nothing if none was granted
+   * @param callback receives the identifier of the lease, or empty if none was granted
    */
-  public void grantLease(long ttlMicros, Consumer<OptionalLong> then) {
+  public void grantLease(long ttlMicros, Consumer<OptionalLong> callback) {
     client.callUnthrottled(
         "POST",
         StateServiceCodec.LEASES_PATH,
         StateServiceCodec.leaseRequest(ttlMicros),
         LEASE_TIMEOUT_MICROS,
         reply ->
-            then.accept(
+            callback.accept(
                 reply.status() == StateServiceCodec.OK
                     ? OptionalLong.of(StateServiceCodec.grantedLease(reply))
                     : OptionalLong.empty()));
   }
 
   /** Renews a lease; never waits for tokens. */
-  public void renewLease(long leaseId, Consumer<LeaseRenewal> then) {
+  public void renewLease(long leaseId, Consumer<LeaseRenewal> callback) {
     client.callUnthrottled(
         "POST",
         StateServiceCodec.renewalPath(leaseId),
         null,
         LEASE_TIMEOUT_MICROS,
         reply ->
-            then.accept(
+            callback.accept(
                 switch (reply.status()) {
                   case StateServiceCodec.OK -> LeaseRenewal.RENEWED;
                   case StateServiceCodec.NOT_FOUND -> LeaseRenewal.EXPIRED;
--- a/src/main/java/gladeknot/state/TokenBucket.java
+++ b/src/main/java/gladeknot/state/TokenBucket.java
@@ -1,20 +1,20 @@
 package gladeknot.state;
 
-/** A bucket of tokens, filled at a steady rate up to one second's worth (or a given burst). */
+/** A token bucket that is refilled at a steady rate up to a burst size. */
 public final class TokenBucket {
   private double ratePerMicro;
   private double burst;
   private double level;
   private long lastMicros;
 
-  /** A full bucket. */
+  /** Creates a full bucket. */
   public TokenBucket(double perSecond, double burst) {
     this.ratePerMicro = perSecond / 1e6;
     this.burst = burst;
     this.level = burst;
   }
 
-  /** Changes the rate, and with it the burst of one second's worth. */
+  /** Changes the rate, and sets the burst size to the tokens of one second. */
   void setRate(double perSecond, long nowMicros) {
     refill(nowMicros);
     ratePerMicro = perSecond / 1e6;
@@ -33,30 +33,37 @@
     }
   }
 
-  /** How many tokens may be taken now if {@code keep} are to stay. */
-  public double available(double keep, long nowMicros) {
+  /** Returns the number of tokens that can be taken now if {@code reserved} tokens must remain. */
+  public double available(double reserved, long nowMicros) {
     refill(nowMicros);
-    return Math.max(0, level - keep);
+    return Math.max(0, level - reserved);
   }
 
-  /** Takes tokens if so many are there and {@code keep} stay for what matters more. */
-  public boolean tryAcquire(double count, double keep, long nowMicros) {
+  /**
+   * Takes tokens if enough are available and {@code reserved} tokens remain for more urgent uses.
+   *
+   * @return whether the tokens were taken
+   */
+  public boolean tryAcquire(double count, double reserved, long nowMicros) {
     refill(nowMicros);
-    // What is larger than the bucket may go once the bucket is full.
-    if (level < Math.min(burst, count + keep)) {
+    // A request for more tokens than the bucket can hold is granted once the bucket is full.
+    if (level < Math.min(burst, count + reserved)) {
       return false;
     }
     level -= count;
     return true;
   }
 
-  /** Takes tokens in any case; for what must not wait, such as lease renewals. */
+  /**
+   * Takes tokens even if not enough are available, for requests that must not wait, such as lease
+   * renewals.
+   */
   public void forceAcquire(double count, long nowMicros) {
     refill(nowMicros);
     level = Math.max(-burst, level - count);
   }
 
-  /** Empties the bucket after the service said that it was asked too often. */
+  /** Empties the bucket after the service has reported too many requests. */
   public void drain(long nowMicros) {
     refill(nowMicros);
     level = Math.min(level, 0);
--- a/src/main/java/gladeknot/state/TransactionCodec.java
+++ b/src/main/java/gladeknot/state/TransactionCodec.java
@@ -6,28 +6,33 @@
 import java.util.List;
 import java.util.Map;
 
-/** Transactions and their outcomes as they go over the wire. */
+/** Codec for transactions and their outcomes in the state service's protocol. */
 final class TransactionCodec {
-  /** Path to which transactions are posted. */
+  /** Path for POST requests with transactions. */
   static final String PATH = "/commit";
 
   private static final int OK = 200;
   private static final int MALFORMED = 400;
-  private static final int FAILED_CONDITION = 409;
+  private static final int FAILED_PRECONDITION = 409;
   private static final int TOO_MANY_REQUESTS = 429;
-  private static final int OUT_OF_ORDER = 503;
+  private static final int SERVICE_UNAVAILABLE = 503;
   private static final long NO_REVISION = -1;
   private static final String NO_SUCH_LEASE = "no such lease";
 
   private TransactionCodec() {}
 
-  /** The body of a transaction; conditions name the revision of each key, 0 for an absent one. */
-  static Map<String, Object> body(Map<String, Long> conditions, List<Mutation> mutations) {
-    List<Object> ifs = new ArrayList<>();
-    conditions.forEach((key, revision) -> ifs.add(Json.of("path", key, "stamp", revision)));
+  /**
+   * Encodes the body of a transaction.
+   *
+   * @param preconditions the revisions that keys must have, by key; 0 for an absent key
+   */
+  static Map<String, Object> body(Map<String, Long> preconditions, List<Mutation> mutations) {
+    List<Object> encodedPreconditions = new ArrayList<>();
+    preconditions.forEach(
+        (key, revision) -> encodedPreconditions.add(Json.of("path", key, "stamp", revision)));
     List<Object> writes = new ArrayList<>();
     mutations.forEach(mutation -> writes.add(operation(mutation)));
-    return Json.of("if", ifs, "writes", writes);
+    return Json.of("if", encodedPreconditions, "writes", writes);
   }
 
   private static Map<String, Object> operation(Mutation mutation) {
@@ -41,16 +46,16 @@
     return put;
   }
 
-  /** How a transaction ended, by the reply to it. */
+  /** Decodes the outcome of a transaction from the reply. */
   static CommitOutcome outcome(Outbox.Reply reply) {
     Map<String, Object> body = reply.object();
     long revision = Json.num(body, "epoch", NO_REVISION);
     return switch (reply.status()) {
       case OK -> new CommitOutcome(CommitStatus.COMMITTED, revision, List.of());
-      case FAILED_CONDITION ->
+      case FAILED_PRECONDITION ->
           new CommitOutcome(CommitStatus.CONFLICT, revision, Json.texts(body, "failed"));
       case TOO_MANY_REQUESTS -> withoutRevision(CommitStatus.THROTTLED);
-      case OUT_OF_ORDER -> withoutRevision(CommitStatus.UNAVAILABLE);
+      case SERVICE_UNAVAILABLE -> withoutRevision(CommitStatus.UNAVAILABLE);
       case MALFORMED -> withoutRevision(CommitStatus.REJECTED);
       default -> withoutRevision(CommitStatus.UNKNOWN);
     };
@@ -60,17 +65,19 @@
     return new CommitOutcome(status, NO_REVISION, List.of());
   }
 
-  /** Why a transaction was rejected, in the service's words; null if it names no reason. */
+  /** Returns the service's reason for rejecting a transaction, or null if it gave none. */
   static Object error(Outbox.Reply reply) {
     return reply.object().get("error");
   }
 
-  /** Whether a transaction was rejected because the lease to attach to does not exist. */
+  /**
+   * Returns whether a transaction was rejected because the lease to attach a key to does not exist.
+   */
   static boolean isMissingLease(Outbox.Reply reply) {
     return NO_SUCH_LEASE.equals(error(reply));
   }
 
-  /** The keys of a transaction with the bytes that are written to each, for the log. */
+  /** Returns the keys of a transaction with the number of bytes written to each, for the log. */
   static List<String> sizes(List<Mutation> mutations) {
     return mutations.stream()
         .map(m -> m.key() + " " + (m.isDelete() ? 0 : Json.bytes(m.data()).length))
--- a/src/main/java/gladeknot/state/TransactionLimits.java
+++ b/src/main/java/gladeknot/state/TransactionLimits.java
@@ -3,73 +3,85 @@
 import gladeknot.settings.Settings;
 
 /**
- * What a transaction and a value may hold at present, for all who write to the state service.
+ * The current size limits of transactions and values, for all writers to the state service.
  *
- * <p>The settings name the limits that are in force and those that will be at some moment after an
- * upgrade. The smaller of both count once all members are known to run this version, or once the
- * service has refused something for its size.
+ * <p>The settings contain the current limits and the limits that will apply some time after an
+ * upgrade. The smaller of both are used once all members are known to run this version, or once the
+ * service has rejected a transaction because of its size.
  */
 public final class TransactionLimits {
-  /** The protocol's conditions for each change that a transaction may hold. */
-  private static final int CONDITIONS_A_CHANGE = 4;
+  /** Maximum number of preconditions per operation of a transaction, set by the protocol. */
+  private static final int PRECONDITIONS_PER_OPERATION = 4;
 
-  /** Of the protocol's 64 KiB a transaction, some are left to conditions and JSON. */
-  private static final int MAX_BYTES = 40_000;
+  /**
+   * Maximum size of the values in a transaction. The remainder of the protocol's 64 KiB is left for
+   * preconditions and the JSON structure.
+   */
+  private static final int MAX_TRANSACTION_BYTES = 40_000;
 
-  /** A claim changes two keys, so that fewer make no sense. */
+  /** Lower bound for the operations of a transaction: a claim changes two keys. */
   private static final int MIN_OPERATIONS = 2;
 
-  private final Settings.StateLimits present;
+  private final Settings.StateLimits current;
   private final Settings.StateLimits smaller;
-  private boolean lowered;
+  private boolean useSmaller;
 
-  /** The limits as the settings name them; the present ones are in force. */
+  /** Creates limits from the settings; the current limits are in force. */
   public TransactionLimits(Settings settings) {
-    present = settings.stateLimits();
-    smaller = present.smaller(settings.nextStateLimits());
+    current = settings.stateLimits();
+    smaller = current.smaller(settings.nextStateLimits());
   }
 
-  /** All members run this version: whatever is written from now on must fit the limits to come. */
+  /**
+   * Applies the smaller limits because all members run this version: all values written from now on
+   * must fit the future limits.
+   */
   public void onAllMembersUpgraded() {
-    lowered = true;
+    useSmaller = true;
   }
 
-  /** The service has called something too large. */
+  /** Applies the smaller limits because the service has rejected a transaction as too large. */
   public void onSizeRejection() {
-    lowered = true;
+    useSmaller = true;
   }
 
   private Settings.StateLimits inForce() {
-    return lowered ? smaller : present;
+    return useSmaller ? smaller : current;
   }
 
-  /** The largest value, in bytes. */
+  /** Returns the maximum size of a value, in bytes. */
   public int maxValueBytes() {
     return inForce().valueBytes();
   }
 
-  /** The most puts and deletes in one transaction. */
+  /** Returns the maximum number of puts and deletes in one transaction. */
   public int maxOperations() {
     return Math.max(MIN_OPERATIONS, inForce().txnOps());
   }
 
-  /** The most conditions in one transaction of that many operations at most. */
+  /**
+   * Returns the maximum number of preconditions of a transaction with at most the given number of
+   * operations.
+   */
   public int maxPreconditions(int operations) {
-    return CONDITIONS_A_CHANGE * operations;
+    return PRECONDITIONS_PER_OPERATION * operations;
   }
 
-  /** The bytes of values that one transaction may hold. */
+  /** Returns the maximum size of all values in one transaction, in bytes. */
   public int maxTransactionBytes() {
-    return MAX_BYTES;
+    return MAX_TRANSACTION_BYTES;
   }
 
-  /** Puts and deletes a second. */
+  /** Returns the maximum rate of puts and deletes of all controllers, per second. */
   public double writesPerSecond() {
     return inForce().writeRps();
   }
 
-  /** How many times as many keys hold the same under the limits to come. */
+  /**
+   * Returns the number of keys that can hold, under the future limits, what one key holds under the
+   * current limits.
+   */
   public int targetSegmentSplit() {
-    return (present.valueBytes() + smaller.valueBytes() - 1) / smaller.valueBytes();
+    return (current.valueBytes() + smaller.valueBytes() - 1) / smaller.valueBytes();
   }
 }
--- a/src/main/java/gladeknot/state/WatchCache.java
+++ b/src/main/java/gladeknot/state/WatchCache.java
@@ -9,18 +9,21 @@
 import java.util.TreeMap;
 
 /**
- * The copy of every key. Changes arrive from lists, from watches and from this controller's own
- * transactions, in any order: the higher revision of a key prevails.
+ * Cache of every key. Changes arrive from lists, from watches and from this controller's own
+ * transactions, in any order. For each key, the change with the highest revision wins.
  */
 final class WatchCache {
   private final TreeMap<String, Entry> entries = new TreeMap<>();
 
-  /** Keys that own transactions deleted at a revision that the watch has not reached yet. */
+  /**
+   * Keys that transactions of this controller deleted, with the revisions of the deletions, which
+   * the watch has not reached yet.
+   */
   private final Map<String, Long> deletedAt = new HashMap<>();
 
   private long revision;
 
-  /** The revision up to which all changes are contained. */
+  /** Returns the revision up to which the cache holds all changes. */
   long revision() {
     return revision;
   }
@@ -29,35 +32,37 @@
     return entries.size();
   }
 
-  /** The entry of a key; null if there is none. */
+  /** Returns the entry of a key, or null if there is none. */
   Entry get(String key) {
     return entries.get(key);
   }
 
-  /** The revision of a key's last change; 0 if there is no such key. */
+  /** Returns the revision of the last change of a key, or 0 if there is no such key. */
   long modRevision(String key) {
     Entry entry = entries.get(key);
     return entry == null ? 0 : entry.modRevision();
   }
 
-  /** A live view of the entries whose keys have a prefix. */
+  /** Returns a live view of the entries whose keys have a prefix. */
   SortedMap<String, Entry> withPrefix(String prefix) {
     return entries.subMap(prefix, prefix + Character.MAX_VALUE);
   }
 
-  /** Takes in a complete list of the keys; returns what it changed. */
+  /** Applies a complete list of the keys, and returns the resulting changes. */
   List<Change> applyList(TreeMap<String, Entry> listed, long listedRevision) {
-    List<String> absent = entries.keySet().stream().filter(k -> !listed.containsKey(k)).toList();
+    List<String> missingKeys =
+        entries.keySet().stream().filter(k -> !listed.containsKey(k)).toList();
     revision = Math.max(revision, listedRevision);
     List<Change> changes = new ArrayList<>();
-    for (String key : absent) {
+    for (String key : missingKeys) {
       if (entries.get(key).modRevision() <= listedRevision) {
         set(key, null, changes);
       }
     }
     listed.forEach(
         (key, entry) -> {
-          // Not what an own transaction has deleted since: the watch doesn't repeat that.
+          // Skips keys that a later transaction of this controller has deleted: the watch would not
+          // delete them again.
           if (isNewer(key, entry.modRevision())) {
             set(key, entry, changes);
           }
@@ -65,7 +70,7 @@
     return changes;
   }
 
-  /** Takes in the events of a watch; returns what they changed. */
+  /** Applies the events of a watch, and returns the resulting changes. */
   List<Change> applyEvents(List<WatchEvent> events) {
     List<Change> changes = new ArrayList<>();
     for (WatchEvent event : events) {
@@ -77,13 +82,13 @@
     return changes;
   }
 
-  /** The watch has reached a revision. */
+  /** Records that the watch has reached a revision. */
   void advanceTo(long watchedRevision) {
     revision = Math.max(revision, watchedRevision);
     deletedAt.values().removeIf(at -> at <= revision);
   }
 
-  /** Takes in a transaction of this controller; returns what it changed. */
+  /** Applies a committed transaction of this controller, and returns the resulting changes. */
   List<Change> applyCommitted(List<Mutation> mutations, long committedRevision) {
     List<Change> changes = new ArrayList<>();
     for (Mutation mutation : mutations) {
