--- a/src/main/java/gladeknot/json/Json.java
+++ b/src/main/java/gladeknot/json/Json.java
@@ -13,12 +13,20 @@
 
   private Json() {}
 
-  /** Parses a JSON value; fails with IOException when the text is not JSON. */
+  /**
+   * Parses a JSON value.
+   *
+   * @throws IOException if the text is not JSON
+   */
   public static Object parse(byte[] bytes) throws IOException {
     return JR.anyFrom(bytes);
   }
 
-  /** Parses an object; an empty or other value fails with IOException. */
+  /**
+   * Parses a JSON object.
+   *
+   * @throws IOException if the text is empty, not JSON or not an object
+   */
   @SuppressWarnings("unchecked")
   public static Map<String, Object> object(byte[] bytes) throws IOException {
     Object value = bytes.length == 0 ? null : parse(bytes);
@@ -28,7 +36,7 @@
     throw new IOException("not a JSON object");
   }
 
-  /** Writes a value as JSON text in UTF-8. */
+  /** Encodes a value as JSON text in UTF-8. */
   public static byte[] bytes(Object value) {
     try {
       return JR.asBytes(value);
@@ -37,42 +45,45 @@
     }
   }
 
-  /** A map from alternating names and values, in that order. */
-  public static Map<String, Object> of(Object... pairs) {
+  /** Returns a map of alternating names and values, which keeps their order. */
+  public static Map<String, Object> of(Object... namesAndValues) {
     Map<String, Object> map = new LinkedHashMap<>();
-    for (int i = 0; i < pairs.length; i += 2) {
-      map.put((String) pairs[i], pairs[i + 1]);
+    for (int i = 0; i < namesAndValues.length; i += 2) {
+      map.put((String) namesAndValues[i], namesAndValues[i + 1]);
     }
     return map;
   }
 
-  /** The text under a name; null if there is none, or another value. */
+  /** Returns the string under a name, or null if there is no value or the value is not a string. */
   public static String text(Map<String, Object> map, String name) {
     return map.get(name) instanceof String text ? text : null;
   }
 
-  /** The number under a name, cut off to a whole one; {@code absent} if there is none. */
-  public static long num(Map<String, Object> map, String name, long absent) {
-    return map.get(name) instanceof Number number ? number.longValue() : absent;
+  /**
+   * Returns the number under a name, truncated to an integer, or {@code defaultValue} if there is
+   * no number.
+   */
+  public static long num(Map<String, Object> map, String name, long defaultValue) {
+    return map.get(name) instanceof Number number ? number.longValue() : defaultValue;
   }
 
-  /** The number under a name; {@code absent} if there is none. */
-  public static double real(Map<String, Object> map, String name, double absent) {
-    return map.get(name) instanceof Number number ? number.doubleValue() : absent;
+  /** Returns the number under a name, or {@code defaultValue} if there is no number. */
+  public static double real(Map<String, Object> map, String name, double defaultValue) {
+    return map.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
   }
 
-  /** Whether {@code true} is under a name. */
+  /** Returns whether the value under a name is {@code true}. */
   public static boolean flag(Map<String, Object> map, String name) {
     return Boolean.TRUE.equals(map.get(name));
   }
 
-  /** A value as an object; empty if it is none. */
+  /** Returns a value as an object, or an empty map if it is not an object. */
   @SuppressWarnings("unchecked")
   public static Map<String, Object> map(Object value) {
     return value instanceof Map ? (Map<String, Object>) value : Map.of();
   }
 
-  /** The list of objects under a name; anything else in it is left out. */
+  /** Returns the objects in the list under a name. Elements that are not objects are left out. */
   @SuppressWarnings("unchecked")
   public static List<Map<String, Object>> objects(Map<String, Object> map, String name) {
     if (!(map.get(name) instanceof List<?> list)) {
@@ -82,7 +93,7 @@
         (List<?>) list.stream().filter(Map.class::isInstance).toList();
   }
 
-  /** The list of texts under a name; anything else in it is left out. */
+  /** Returns the strings in the list under a name. Elements that are not strings are left out. */
   public static List<String> texts(Map<String, Object> map, String name) {
     if (!(map.get(name) instanceof List<?> list)) {
       return List.of();
--- a/src/main/java/gladeknot/json/package-info.java
+++ b/src/main/java/gladeknot/json/package-info.java
@@ -1,2 +1,2 @@
-/** Reading and writing JSON as plain maps and lists, for the codecs; it depends on nothing else. */
+/** Reads and writes JSON as plain maps and lists, for the codecs. Uses no other package. */
 package gladeknot.json;
--- a/src/main/java/gladeknot/outbox/CallObserver.java
+++ b/src/main/java/gladeknot/outbox/CallObserver.java
@@ -1,8 +1,8 @@
 package gladeknot.outbox;
 
-/** Hears of every call that the controller makes to other services, and of its end. */
+/** Observer of the controller's calls to other services and of their replies. */
 public interface CallObserver {
-  /** Hears of nothing. */
+  /** An observer that does nothing. */
   CallObserver NONE =
       new CallObserver() {
         @Override
@@ -12,9 +12,9 @@
         public void replied(long callId, int status) {}
       };
 
-  /** A call is handed to the event loop. */
+  /** Called when a call is added to the outbox. */
   void called(Outbox.Call call);
 
-  /** A call has ended; status 0 says that no reply came. */
+  /** Called when a call has ended; status 0 means that there was no reply. */
   void replied(long callId, int status);
 }
--- a/src/main/java/gladeknot/outbox/Outbox.java
+++ b/src/main/java/gladeknot/outbox/Outbox.java
@@ -9,21 +9,23 @@
 import java.util.Map;
 
 /**
- * What the controller's state machine wants sent: calls to other services, answers to requests and
- * messages to the other controllers. The state machine only fills it; the event loop carries it out
- * and brings the replies back. Not thread-safe: all of it is the event loop's.
+ * The controller's outgoing calls to other services, answers to requests and messages to other
+ * controllers. The state machine only adds them. The event loop sends them and delivers the
+ * replies. Not thread-safe: must be used only on the event loop's thread.
  */
 public final class Outbox {
-  /** A request to another service; {@code address} is host:port. */
+  /** A request to another service; {@code address} has the form host:port. */
   public record Call(
       long id, String address, String method, String path, byte[] body, long timeoutMicros) {}
 
-  /** The answer to a request; {@code retryAfterS} is 0 if it says nothing of a repetition. */
+  /** The answer to a request; {@code retryAfterS} is 0 if the answer asks for no retry. */
   public record Answer(long request, int status, byte[] body, int retryAfterS) {}
 
-  /** What came back; status 0 says that nothing did, and the call may have been carried out. */
+  /**
+   * The reply to a call. Status 0 means that there was no reply; the call may have been executed.
+   */
   public record Reply(int status, byte[] body) {
-    /** The body as a JSON object; empty if it is none. */
+    /** Returns the body as a JSON object, or an empty map if it is not an object. */
     public Map<String, Object> object() {
       try {
         return Json.object(body);
@@ -33,9 +35,9 @@
     }
   }
 
-  /** Takes the reply to one call. */
+  /** Handler of the reply to one call. */
   public interface ReplyHandler {
-    /** The reply, or its absence; comes once for each call. */
+    /** Called once for each call, with status 0 if there was no reply. */
     void onReply(Reply reply);
   }
 
@@ -46,12 +48,12 @@
   private CallObserver observer = CallObserver.NONE;
   private long nextId = 1;
 
-  /** Lets an observer hear of every call from now on. */
+  /** Sets the observer of all calls from now on. */
   public void observe(CallObserver callObserver) {
     observer = callObserver;
   }
 
-  /** Adds a call; the handler gets its reply, with status 0 if none came in time. */
+  /** Adds a call; the handler receives the reply, or status 0 if there is none in time. */
   public void call(
       String address,
       String method,
@@ -67,17 +69,17 @@
     observer.called(call);
   }
 
-  /** Answers a request; the body is written as JSON. */
+  /** Answers a request; the body is encoded as JSON. */
   public void answer(long request, int status, Object body) {
     answers.add(new Answer(request, status, Json.bytes(body), 0));
   }
 
-  /** Refuses a request for now, and says after how many seconds to repeat it. */
-  public void retryLater(long request, int status, String why, int retryAfterS) {
-    answers.add(new Answer(request, status, Json.bytes(Json.of("error", why)), retryAfterS));
+  /** Refuses a request temporarily; the client should retry after the given number of seconds. */
+  public void retryLater(long request, int status, String reason, int retryAfterS) {
+    answers.add(new Answer(request, status, Json.bytes(Json.of("error", reason)), retryAfterS));
   }
 
-  /** Hands a reply to the handler of its call; a second one is ignored. */
+  /** Passes a reply to the handler of its call; a second reply to a call is ignored. */
   public void reply(long callId, Reply reply) {
     ReplyHandler handler = replyHandlers.remove(callId);
     if (handler != null) {
@@ -86,29 +88,29 @@
     }
   }
 
-  /** The calls added since the last time, each returned once. */
+  /** Returns and removes the calls added since the last call of this method. */
   public List<Call> drainCalls() {
-    List<Call> taken = List.copyOf(calls);
+    List<Call> drained = List.copyOf(calls);
     calls.clear();
-    return taken;
+    return drained;
   }
 
-  /** Sends a message to the other controllers; it may get lost. */
+  /** Sends a message to the other controllers; the message may be lost. */
   public void sendToPeers(PeerMessage message) {
     peerMessages.add(message);
   }
 
-  /** The messages to other controllers, each returned once. */
+  /** Returns and removes the messages to other controllers. */
   public List<PeerMessage> drainPeerMessages() {
-    List<PeerMessage> taken = List.copyOf(peerMessages);
+    List<PeerMessage> drained = List.copyOf(peerMessages);
     peerMessages.clear();
-    return taken;
+    return drained;
   }
 
-  /** The answers to requests, each returned once. */
+  /** Returns and removes the answers to requests. */
   public List<Answer> drainAnswers() {
-    List<Answer> taken = List.copyOf(answers);
+    List<Answer> drained = List.copyOf(answers);
     answers.clear();
-    return taken;
+    return drained;
   }
 }
--- a/src/main/java/gladeknot/outbox/package-info.java
+++ b/src/main/java/gladeknot/outbox/package-info.java
@@ -1,8 +1,8 @@
 /**
- * What the controller's state machine wants sent: calls to other services, answers to requests, and
- * messages to the other controllers.
+ * The controller's outgoing calls to other services, answers to requests, and messages to other
+ * controllers.
  *
- * <p>The state machine only fills the {@link gladeknot.outbox.Outbox}; the process around it, or a
- * test, drains it and brings the replies back. Uses {@code peer} and {@code json} alone.
+ * <p>The state machine only adds to the {@link gladeknot.outbox.Outbox}. The process around it, or
+ * a test, drains the outbox and delivers the replies. Uses only {@code peer} and {@code json}.
  */
 package gladeknot.outbox;
