--- a/src/main/java/gladeknot/http/HttpServer.java
+++ b/src/main/java/gladeknot/http/HttpServer.java
@@ -117,8 +117,8 @@
             Unpooled.wrappedBuffer(answer.body()));
     response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
     response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
-    if (answer.retryAfterS() > 0) {
-      response.headers().setInt(HttpHeaderNames.RETRY_AFTER, answer.retryAfterS());
+    if (answer.retryAfterSeconds() > 0) {
+      response.headers().setInt(HttpHeaderNames.RETRY_AFTER, answer.retryAfterSeconds());
     }
     return response;
   }
--- a/src/main/java/gladeknot/outbox/Outbox.java
+++ b/src/main/java/gladeknot/outbox/Outbox.java
@@ -18,8 +18,8 @@
   public record Call(
       long id, String address, String method, String path, byte[] body, long timeoutMicros) {}
 
-  /** The answer to a request; {@code retryAfterS} is 0 if the answer asks for no retry. */
-  public record Answer(long request, int status, byte[] body, int retryAfterS) {}
+  /** The answer to a request; {@code retryAfterSeconds} is 0 if the answer asks for no retry. */
+  public record Answer(long request, int status, byte[] body, int retryAfterSeconds) {}
 
   /**
    * The reply to a call. Status 0 means that there was no reply; the call may have been executed.
@@ -75,8 +75,8 @@
   }
 
   /** Refuses a request temporarily; the client should retry after the given number of seconds. */
-  public void retryLater(long request, int status, String reason, int retryAfterS) {
-    answers.add(new Answer(request, status, Json.bytes(Json.of("error", reason)), retryAfterS));
+  public void retryLater(long request, int status, String reason, int retryAfterSeconds) {
+    answers.add(new Answer(request, status, Json.bytes(Json.of("error", reason)), retryAfterSeconds));
   }
 
   /** Passes a reply to the handler of its call; a second reply to a call is ignored. */
--- a/src/test/java/gladeknot/golden/GoldenCluster.java
+++ b/src/test/java/gladeknot/golden/GoldenCluster.java
@@ -170,7 +170,8 @@
 
   /** An answer as one text. */
   static String text(Outbox.Answer answer) {
-    String later = answer.retryAfterS() == 0 ? "" : " Retry-After: " + answer.retryAfterS();
+    String later =
+        answer.retryAfterSeconds() == 0 ? "" : " Retry-After: " + answer.retryAfterSeconds();
     return answer.status() + later + " " + CanonicalJson.of(answer.body());
   }
 
--- a/src/test/java/gladeknot/standin/BehaviourFingerprint.java
+++ b/src/test/java/gladeknot/standin/BehaviourFingerprint.java
@@ -46,7 +46,7 @@
   void answer(long nowMicros, int node, Outbox.Answer answer) {
     answerCount++;
     add(answers, nowMicros, node);
-    answers.putLong(answer.request()).putInt(answer.status()).putInt(answer.retryAfterS());
+    answers.putLong(answer.request()).putInt(answer.status()).putInt(answer.retryAfterSeconds());
     addBody(answers, answer.body());
   }
 
