--- a/src/main/java/gladeknot/outbox/Outbox.java
+++ b/src/main/java/gladeknot/outbox/Outbox.java
@@ -76,7 +76,8 @@
 
   /** Refuses a request temporarily; the client should retry after the given number of seconds. */
   public void retryLater(long request, int status, String reason, int retryAfterSeconds) {
-    answers.add(new Answer(request, status, Json.bytes(Json.of("error", reason)), retryAfterSeconds));
+    answers.add(
+        new Answer(request, status, Json.bytes(Json.of("error", reason)), retryAfterSeconds));
   }
 
   /** Passes a reply to the handler of its call; a second reply to a call is ignored. */
--- a/src/test/java/gladeknot/state/PagedListTest.java
+++ b/src/test/java/gladeknot/state/PagedListTest.java
@@ -15,9 +15,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The list of all keys comes in pages, of which later ones may be newer: a transaction between two
- * pages shows in one of its keys and not yet in the other. A controller that acted on such a copy
- * could take a record for one of a job that is not known, or miss the slice that a task went to.
+ * Guards against use of the cache after a list whose pages were read at different revisions. The
+ * cache may then contain a transaction's change of one key but not of another. A controller that
+ * acted on it could mistake a record for one of an unknown job, or miss the slice that a task was
+ * moved to.
  */
 class PagedListTest {
   private static final long SECOND = 1_000_000;
@@ -45,7 +46,7 @@
   }
 
   @Test
-  void theCopyCountsAsLoadedOnceTheWatchHasReachedTheLastPage() {
+  void cacheIsLoadedOnceWatchReachesRevisionOfLastPage() {
     // given
     answerList(page(10, true, "g/job/1"));
     answerList(page(12, false, "g/sl/0/a1"));
@@ -64,7 +65,7 @@
   }
 
   @Test
-  void pagesOfOneRevisionNeedNoWatch() {
+  void cacheIsLoadedWithoutWatchIfPagesHaveOneRevision() {
     // when
     answerList(page(10, true, "g/job/1"));
     answerList(page(10, false, "g/sl/0/a1"));
@@ -87,7 +88,7 @@
         }
       }
     }
-    throw new IllegalStateException("no call of " + path);
+    throw new IllegalStateException("no call with a path that starts with " + path);
   }
 
   private static Map<String, Object> page(long revision, boolean more, String key) {
--- a/src/test/java/gladeknot/state/TokenBucketTest.java
+++ b/src/test/java/gladeknot/state/TokenBucketTest.java
@@ -6,7 +6,7 @@
 
 class TokenBucketTest {
   @Test
-  void neverMoreThanTheRateAndOneBurst() {
+  void grantsAtMostRateAndOneBurst() {
     TokenBucket tokens = new TokenBucket(10, 10);
     int taken = 0;
     for (long now = 0; now <= 5_000_000; now += 10_000) {
@@ -14,12 +14,12 @@
         taken++;
       }
     }
-    // Rounding may leave the last one a step behind.
+    // Because of rounding, the last token may come one step later.
     assertEquals(60, taken, 1);
   }
 
   @Test
-  void whatIsKeptForUrgentCallsStays() {
+  void reservedTokensStayForUrgentCalls() {
     TokenBucket tokens = new TokenBucket(10, 10);
     int taken = 0;
     while (tokens.tryAcquire(1, 4, 0)) {
--- a/src/test/java/gladeknot/state/TransactionLimitsTest.java
+++ b/src/test/java/gladeknot/state/TransactionLimitsTest.java
@@ -13,12 +13,12 @@
   }
 
   @Test
-  void theSmallerCountOnceAllAreCurrentOrSomethingWasRefused() {
-    for (boolean refused : new boolean[] {false, true}) {
+  void smallerLimitsApplyAfterUpgradeOfAllMembersOrSizeRejection() {
+    for (boolean rejected : new boolean[] {false, true}) {
       TransactionLimits limits = limits(8192, 2048, 4);
       assertEquals(8192, limits.maxValueBytes());
       assertEquals(16, limits.maxOperations());
-      if (refused) {
+      if (rejected) {
         limits.onSizeRejection();
       } else {
         limits.onAllMembersUpgraded();
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void largerLimitsToComeChangeNothing() {
+  void largerFutureLimitsHaveNoEffect() {
     TransactionLimits limits = limits(2048, 8192, 64);
     limits.onAllMembersUpgraded();
     assertEquals(2048, limits.maxValueBytes());
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void partsAreSplitByTheRatioOfTheValues() {
+  void segmentSplitIsRatioOfValueSizesRoundedUp() {
     assertEquals(4, limits(8192, 2048, 4).targetSegmentSplit());
     assertEquals(3, limits(8192, 3000, 4).targetSegmentSplit());
   }
--- a/src/test/java/gladeknot/state/WatchCacheTest.java
+++ b/src/test/java/gladeknot/state/WatchCacheTest.java
@@ -9,16 +9,21 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** What the copy of the state keeps of own transactions that are ahead of the watch. */
+/**
+ * Tests that the cache keeps changes of its controller's transactions that are ahead of the watch.
+ */
 class WatchCacheTest {
   private static final String KEY = "g/a";
   private static final Map<String, Object> DATA = Map.of("n", 1);
 
   private final WatchCache cache = new WatchCache();
 
-  /** A list that was read before an own deletion must not bring the key back for good. */
+  /**
+   * A list that was read before this controller deleted a key must not restore the key: the watch
+   * would not delete it again.
+   */
   @Test
-  void aListDoesNotShowWhatAnOwnTransactionDeletedLater() {
+  void olderListDoesNotRestoreKeyDeletedByOwnTransaction() {
     // given
     cache.applyList(listOf(KEY, 5), 5);
     cache.applyCommitted(List.of(Mutation.delete(KEY)), 9);
@@ -32,7 +37,7 @@
   }
 
   @Test
-  void aListShowsWhatWasWrittenAfterAnOwnDeletion() {
+  void listAppliesWriteAfterOwnDeletion() {
     // given
     cache.applyCommitted(List.of(Mutation.delete(KEY)), 9);
     // when
@@ -42,7 +47,7 @@
   }
 
   @Test
-  void eventsOlderThanAnOwnTransactionChangeNothing() {
+  void eventOlderThanOwnTransactionIsIgnored() {
     // given
     cache.applyList(new TreeMap<>(), 3);
     cache.applyCommitted(List.of(Mutation.put(KEY, DATA)), 9);
--- a/src/test/java/gladeknot/tasks/AttemptCodecTest.java
+++ b/src/test/java/gladeknot/tasks/AttemptCodecTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Attempts come back as they were, and the compact form is short. */
+/** Tests that attempts survive encoding and decoding, and that the compact form is short. */
 class AttemptCodecTest {
   private static final List<List<StoredAttempt>> CASES =
       List.of(
@@ -23,16 +23,16 @@
           List.of(new StoredAttempt(1, 4, "a%d-007"), new StoredAttempt(2, 3, "a%d-008")));
 
   @Test
-  void bothFormsComeBack() {
+  void bothFormsDecodeToTheSameAttempts() {
     for (List<StoredAttempt> attempts : CASES) {
       assertEquals(attempts, AttemptCodec.decode(AttemptCodec.encodePlain(attempts)));
       assertEquals(attempts, AttemptCodec.decode(AttemptCodec.encodeCompact(attempts)));
     }
   }
 
-  /** As the first version wrote it. */
+  /** Records that the first version wrote must stay readable, and the plain form unchanged. */
   @Test
-  void thePlainFormIsAsItAlwaysWas() {
+  void plainFormIsCompatibleWithFirstVersion() {
     String stored = "3:16:vm-000231,11:19:vm-000007";
     List<StoredAttempt> attempts =
         List.of(new StoredAttempt(3, 16, "vm-000231"), new StoredAttempt(11, 19, "vm-000007"));
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void theCompactFormTakesAThird() {
+  void compactFormTakesLessThanAThirdOfPlainForm() {
     List<StoredAttempt> attempts = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
       attempts.add(
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void aCutRecordIsRefused() {
+  void truncatedRecordIsRejected() {
     assertThrows(IllegalArgumentException.class, () -> AttemptCodec.decode("~vm-:6:gA"));
   }
 }
--- a/src/test/java/gladeknot/tasks/PackedValueTest.java
+++ b/src/test/java/gladeknot/tasks/PackedValueTest.java
@@ -12,12 +12,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The fields of a key, and about how long they are as JSON. */
+/** Tests the fields of a packed value and its approximate size as JSON. */
 class PackedValueTest {
   private static final Map<String, Object> FIELDS = Json.of("req-1", "a|b", "req-22", "c");
 
   @Test
-  void fieldsAreThoseOfTheEntry() {
+  void fieldsMatchEntry() {
     PackedValue value = PackedValue.of(new Entry(FIELDS, 7));
     assertEquals("a|b", value.get("req-1"));
     assertNull(value.get("req-2"));
@@ -26,24 +26,24 @@
     assertSame(PackedValue.EMPTY, PackedValue.of((Entry) null));
   }
 
-  /** By this size it is decided whether a segment has become too large. */
+  /** This size decides whether a segment has become too large. */
   @Test
-  void theSizeIsThatOfTheJsonWithoutItsBraces() {
+  void encodedBytesMatchesJsonWithoutBraces() {
     String json = "\"req-1\":\"a|b\",\"req-22\":\"c\",";
     assertEquals(json.length(), PackedValue.of(FIELDS).encodedBytes());
     assertEquals(0, PackedValue.EMPTY.encodedBytes());
   }
 
   @Test
-  void aCopyLeavesTheValueAsItWas() {
+  void changingCopyDoesNotChangeValue() {
     PackedValue value = PackedValue.of(FIELDS);
     value.copyFields().remove("req-1");
     assertTrue(value.contains("req-1"));
   }
 
-  /** What a transaction wrote is recognized in the copy without comparing its texts. */
+  /** A value that a transaction wrote is recognized in the cache without comparing texts. */
   @Test
-  void viewsOfOneMapAreTheSameValue() {
+  void onlyViewsOfTheSameMapAreTheSameValue() {
     assertTrue(PackedValue.of(FIELDS).isSameAs(PackedValue.of(new Entry(FIELDS, 8))));
     assertTrue(PackedValue.of(FIELDS).isViewOf(FIELDS));
     assertFalse(PackedValue.of(FIELDS).isSameAs(PackedValue.of(Json.of("req-1", "a|b"))));
--- a/src/test/java/gladeknot/tasks/SliceTest.java
+++ b/src/test/java/gladeknot/tasks/SliceTest.java
@@ -16,7 +16,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** What a slice's record keeps, and how few bytes it takes. */
+/** Tests the contents and size of a slice's record, and the segments that slices belong to. */
 class SliceTest {
   private static final SegmentLayout LAYOUT = new SegmentLayout(() -> 1);
 
@@ -28,7 +28,7 @@
     return slice;
   }
 
-  private static Slice again(String record) {
+  private static Slice decoded(String record) {
     Slice slice = new Slice(LAYOUT, false, 1, 3, "req-1");
     for (Attempt attempt : slice.decode(record, 0)) {
       slice.addAttempt(attempt);
@@ -37,63 +37,71 @@
   }
 
   @Test
-  void comesBackAsItWas() throws MalformedJobException {
+  void decodedSliceMatchesEncodedSlice() throws MalformedJobException {
     Slice slice = slice(20);
     slice.done().set(3, 9);
     long number = slice.nextAttemptNumber();
     slice.addAttempt(new Attempt(slice, 11, number, "vm-000231", 0));
-    Slice read = again(slice.encode());
+    Slice read = decoded(slice.encode());
     assertEquals(slice.assigned(), read.assigned());
     assertEquals(slice.done(), read.done());
     assertEquals(
         "req-1/11#" + number + " host=vm-000231", read.attemptsByTask().get(11).toString());
     assertTrue(
         read.attemptsByTask().get(11).committed() && read.attemptsByTask().get(11).runSent());
-    // Attempt numbers never repeat, whichever controller owns the slice.
+    // Attempt numbers never repeat, whichever controller owns the shard.
     assertTrue(read.nextAttemptNumber() > number);
     assertEquals(slice.encode(), read.encode().replace("|" + read.attemptCounter() + "|", "|1|"));
   }
 
-  /** Done slices outnumber the others while their jobs go on, and filled a segment once. */
+  /**
+   * While their jobs are active, done slices outnumber the others. Their records once filled a
+   * segment.
+   */
   @Test
-  void aDoneSliceTakesLittleHoweverScatteredItsTasks() throws MalformedJobException {
+  void recordOfDoneSliceStaysShortWithScatteredTasks() throws MalformedJobException {
     Slice slice = slice(250);
     for (int task = 0; task < 250; task += 2) {
       slice.assigned().clear(task);
     }
-    int open = slice.encode().length();
+    int activeBytes = slice.encode().length();
     slice.done().or(slice.assigned());
-    assertTrue(slice.encode().length() <= open + 1);
-    assertEquals(slice.assigned(), again(slice.encode()).done());
+    assertTrue(slice.encode().length() <= activeBytes + 1);
+    assertEquals(slice.assigned(), decoded(slice.encode()).done());
   }
 
-  /** Slices of one old segment move to as many new ones as the format says, and to no others. */
+  /**
+   * The slices of one segment of the first version move to the segments that this segment is split
+   * into, and to no others.
+   */
   @Test
-  void aSplitSegmentsPiecesAreItsOwn() {
+  void slicesMoveOnlyToPartsOfTheirSegment() {
     SegmentLayout split = new SegmentLayout(() -> 4);
-    Map<String, Set<String>> pieces = new TreeMap<>();
+    Map<String, Set<String>> parts = new TreeMap<>();
     for (int i = 0; i < 1000; i++) {
       String job = "req-" + (100_000 + 37 * i);
-      for (boolean whole : List.of(true, false)) {
-        String piece = split.key(2, whole, job);
-        pieces.computeIfAbsent(LAYOUT.key(2, whole, job), key -> new TreeSet<>()).add(piece);
-        assertEquals(whole, SegmentLayout.holdsUnsplitJobs(piece));
+      for (boolean unsplit : List.of(true, false)) {
+        String part = split.key(2, unsplit, job);
+        parts.computeIfAbsent(LAYOUT.key(2, unsplit, job), key -> new TreeSet<>()).add(part);
+        assertEquals(unsplit, SegmentLayout.holdsUnsplitJobs(part));
       }
     }
     assertEquals(
         Set.of("g/sl/2/a0", "g/sl/2/a1", "g/sl/2/a2", "g/sl/2/a3", "g/sl/2/w0", "g/sl/2/w1"),
-        pieces.keySet());
+        parts.keySet());
     assertEquals(
         Set.of("g/sl/2/a16-1", "g/sl/2/a16-5", "g/sl/2/a16-9", "g/sl/2/a16-13"),
-        pieces.get("g/sl/2/a1"));
+        parts.get("g/sl/2/a1"));
     assertEquals(
-        Set.of("g/sl/2/w8-0", "g/sl/2/w8-2", "g/sl/2/w8-4", "g/sl/2/w8-6"),
-        pieces.get("g/sl/2/w0"));
+        Set.of("g/sl/2/w8-0", "g/sl/2/w8-2", "g/sl/2/w8-4", "g/sl/2/w8-6"), parts.get("g/sl/2/w0"));
   }
 
-  /** It is asked for in every step; worked out each time it made large fleets too slow. */
+  /**
+   * The key is requested in every step. Computing it each time made the controller too slow with
+   * large fleets.
+   */
   @Test
-  void aSlicesKeyIsWorkedOutOnceALayout() {
+  void targetKeyIsComputedOncePerLayout() {
     int[] split = {1};
     Slice slice = new Slice(new SegmentLayout(() -> split[0]), false, 1, 3, "req-1");
     String before = slice.targetKey();
@@ -104,13 +112,13 @@
   }
 
   @Test
-  void aClaimLeavesTheRest() throws MalformedJobException {
+  void recordKeepsTasksThatAreNotClaimed() throws MalformedJobException {
     Slice slice = slice(10);
     slice.done().set(0);
-    BitSet left = new BitSet();
-    left.set(0, 4);
-    Slice read = again(slice.encode(left));
-    assertEquals(left, read.assigned());
+    BitSet remaining = new BitSet();
+    remaining.set(0, 4);
+    Slice read = decoded(slice.encode(remaining));
+    assertEquals(remaining, read.assigned());
     assertEquals(
         List.of(1, 2, 3), read.assigned().stream().filter(read::isPending).boxed().toList());
   }
--- a/src/test/java/gladeknot/tasks/TaskRangesTest.java
+++ b/src/test/java/gladeknot/tasks/TaskRangesTest.java
@@ -8,7 +8,7 @@
 class TaskRangesTest {
   @ParameterizedTest
   @ValueSource(strings = {"", "0", "0-4", "0-4,7", "3,5,9-99999"})
-  void comeBackAsTheyWereWritten(String text) {
+  void parsedTextIsFormattedUnchanged(String text) {
     assertEquals(text, TaskRanges.text(TaskRanges.parse(text)));
   }
 }
