--- a/src/main/java/gladeknot/state/CacheSynchronizer.java
+++ b/src/main/java/gladeknot/state/CacheSynchronizer.java
@@ -149,9 +149,8 @@
 
   private void watch() {
     watching = true;
-    // While the cache is not loaded, the service must answer at once: its revision is needed
-    // whether
-    // or not any of these keys has changed.
+    // Before the cache is loaded, the service must answer at once, because its revision is needed
+    // even if none of these keys has changed.
     int waitMillis = loaded() ? WATCH_WAIT_MILLIS : 0;
     client.callUnthrottled(
         "GET",
@@ -175,8 +174,7 @@
     listener.onChanges(cache.applyEvents(watched.events()));
     cache.advanceTo(watched.revision().orElse(cache.revision()));
     // Every change by any controller ends a watch. Without this interval, watches alone would use
-    // up
-    // the request rate that transactions need.
+    // up the request rate that transactions need.
     nextWatchMicros = nowMicros + WATCH_INTERVAL_MICROS;
     onRevisionReached();
   }
--- a/src/main/java/gladeknot/state/ReadBarriers.java
+++ b/src/main/java/gladeknot/state/ReadBarriers.java
@@ -71,9 +71,7 @@
    * longer than {@link #TIMEOUT_MICROS}.
    */
   void whenRevisionReached(long revision, Runnable callback, Runnable onFailed, long nowMicros) {
-    // sentMicros stays unset: no read was sent for this barrier, so that it does not prove how
-    // recent
-    // the cache is.
+    // sentMicros stays unset: without a read, this barrier does not prove how recent the cache is.
     Barrier barrier = new Barrier(callback, onFailed, nowMicros + TIMEOUT_MICROS);
     barrier.revision = revision;
     waiting.add(barrier);
--- a/src/main/java/gladeknot/state/StateStore.java
+++ b/src/main/java/gladeknot/state/StateStore.java
@@ -192,7 +192,7 @@
       }
       case REJECTED -> onRejected(reply, mutations);
       case CONFLICT, UNAVAILABLE, THROTTLED, UNKNOWN -> {
-        // No change is known.
+        // The cache stays unchanged: the transaction is not known to be committed.
       }
     }
     return outcome;
--- a/src/main/java/gladeknot/tasks/SegmentLayout.java
+++ b/src/main/java/gladeknot/tasks/SegmentLayout.java
@@ -10,7 +10,8 @@
  * are few enough segments that one write commits many starts and ends, and enough of them that the
  * values of a full shard stay below the value size limit. Gangs and services change rarely and have
  * segments apart from those of arrays. A start of a spread job has the segments of the job's slices
- * as preconditions, so that it would conflict with the frequent changes to arrays.
+ * as preconditions. If these segments also held arrays, such starts would conflict with the
+ * frequent changes to arrays.
  *
  * <p>The cluster's storage format says how many segments each segment of the first version is split
  * into. The names of split segments contain the number of segments, so that each key shows which
