--- a/src/test/java/gladeknot/tasks/AttemptCodecTest.java
+++ b/src/test/java/gladeknot/tasks/AttemptCodecTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Attempts come back as they were, and the compact form is short. */
+/** Tests that attempts survive encoding and decoding, and that the compact form is short. */
 class AttemptCodecTest {
   private static final List<List<StoredAttempt>> CASES =
       List.of(
@@ -23,36 +23,36 @@
           List.of(new StoredAttempt(1, 4, "a%d-007"), new StoredAttempt(2, 3, "a%d-008")));
 
   @Test
-  void bothFormsComeBack() {
+  void bothFormsDecodeToTheSameAttempts() {
     for (List<StoredAttempt> attempts : CASES) {
-      assertEquals(attempts, AttemptCodec.read(AttemptCodec.plain(attempts)));
-      assertEquals(attempts, AttemptCodec.read(AttemptCodec.compact(attempts)));
+      assertEquals(attempts, AttemptCodec.decode(AttemptCodec.encodePlain(attempts)));
+      assertEquals(attempts, AttemptCodec.decode(AttemptCodec.encodeCompact(attempts)));
     }
   }
 
-  /** As the first version wrote it. */
+  /** Records that the first version wrote must stay readable, and the plain form unchanged. */
   @Test
-  void thePlainFormIsAsItAlwaysWas() {
+  void plainFormIsCompatibleWithFirstVersion() {
     String stored = "3:16:vm-000231,11:19:vm-000007";
     List<StoredAttempt> attempts =
         List.of(new StoredAttempt(3, 16, "vm-000231"), new StoredAttempt(11, 19, "vm-000007"));
-    assertEquals(attempts, AttemptCodec.read(stored));
-    assertEquals(stored, AttemptCodec.plain(attempts));
+    assertEquals(attempts, AttemptCodec.decode(stored));
+    assertEquals(stored, AttemptCodec.encodePlain(attempts));
   }
 
   @Test
-  void theCompactFormTakesAThird() {
+  void compactFormTakesLessThanAThirdOfPlainForm() {
     List<StoredAttempt> attempts = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
       attempts.add(
           new StoredAttempt(i, 1000 + 3 * i, String.format("vm-%06d", 100 + i * 37 % 600)));
     }
-    int plain = AttemptCodec.plain(attempts).length();
-    assertTrue(AttemptCodec.compact(attempts).length() * 3 < plain);
+    int plain = AttemptCodec.encodePlain(attempts).length();
+    assertTrue(AttemptCodec.encodeCompact(attempts).length() * 3 < plain);
   }
 
   @Test
-  void aCutRecordIsRefused() {
-    assertThrows(IllegalArgumentException.class, () -> AttemptCodec.read("~vm-:6:gA"));
+  void truncatedRecordIsRejected() {
+    assertThrows(IllegalArgumentException.class, () -> AttemptCodec.decode("~vm-:6:gA"));
   }
 }
