--- a/src/test/java/gladeknot/standin/ExecutionIntervals.java
+++ b/src/test/java/gladeknot/standin/ExecutionIntervals.java
@@ -10,62 +10,64 @@
 import java.util.function.Function;
 
 /**
- * When each attempt was on its machine, as the machines saw it. What ran at the same time is worked
- * out from these times and not from the order in which they became known, so that a slow observer
- * finds no fault that was not there.
+ * Records when each attempt was on its machine, as the machine saw it. Overlaps are computed from
+ * these times and not from the order in which they became known, so that a slow observer reports no
+ * violation that did not occur.
  */
 final class ExecutionIntervals {
-  /** A task's team and what one task uses. */
+  /** The team of a task and the resources that one task uses. */
   record TeamUse(String team, ResourceUse use) {}
 
   private static final class Interval {
     private final String host;
     private final String task;
-    private final long number;
-    private final long from;
-    private OptionalLong until = OptionalLong.empty();
+    private final long attempt;
+    private final long startMicros;
+    private OptionalLong endMicros = OptionalLong.empty();
 
-    Interval(String host, String task, long number, long from) {
+    Interval(String host, String task, long attempt, long startMicros) {
       this.host = host;
       this.task = task;
-      this.number = number;
-      this.from = from;
+      this.attempt = attempt;
+      this.startMicros = startMicros;
     }
 
-    boolean lasts() {
-      return until.isEmpty();
+    boolean isOpen() {
+      return endMicros.isEmpty();
     }
 
-    long end() {
-      return until.orElse(Long.MAX_VALUE);
+    long endMicrosOrMax() {
+      return endMicros.orElse(Long.MAX_VALUE);
     }
   }
 
-  private record Step(long micros, boolean start, Interval interval) {}
+  private record Boundary(long micros, boolean start, Interval interval) {}
 
   private final List<Interval> intervals = new ArrayList<>();
   private final Map<String, List<Interval>> byTask = new HashMap<>();
 
-  void started(String host, String task, long number, long micros) {
-    Interval interval = new Interval(host, task, number, micros);
+  void started(String host, String task, long attempt, long micros) {
+    Interval interval = new Interval(host, task, attempt, micros);
     intervals.add(interval);
     byTask.computeIfAbsent(task, absent -> new ArrayList<>()).add(interval);
   }
 
-  void ended(String host, String task, long number, long micros) {
+  void ended(String host, String task, long attempt, long micros) {
     for (Interval interval : byTask.getOrDefault(task, List.of())) {
-      if (interval.lasts() && interval.number == number && interval.host.equals(host)) {
-        interval.until = OptionalLong.of(micros);
+      if (interval.isOpen() && interval.attempt == attempt && interval.host.equals(host)) {
+        interval.endMicros = OptionalLong.of(micros);
       }
     }
   }
 
-  /** The tasks that are on a machine. */
+  /** Returns the tasks that are on a machine. */
   List<String> running() {
-    return intervals.stream().filter(Interval::lasts).map(interval -> interval.task).toList();
+    return intervals.stream().filter(Interval::isOpen).map(interval -> interval.task).toList();
   }
 
-  /** Tasks that were on two machines at once, in words. */
+  /**
+   * Returns a description of each overlap, that is, of each task that was on two machines at once.
+   */
   List<String> overlaps() {
     List<String> found = new ArrayList<>();
     byTask.forEach((task, all) -> findOverlaps(task, all, found));
@@ -74,27 +76,27 @@
 
   private static void findOverlaps(String task, List<Interval> all, List<String> found) {
     List<Interval> sorted = new ArrayList<>(all);
-    sorted.sort(Comparator.comparingLong(interval -> interval.from));
+    sorted.sort(Comparator.comparingLong(interval -> interval.startMicros));
     for (int i = 1; i < sorted.size(); i++) {
-      Interval before = sorted.get(i - 1);
-      Interval after = sorted.get(i);
-      if (after.from < before.end()) {
-        found.add("runs twice: " + task + " on " + before.host + " and " + after.host);
+      Interval earlier = sorted.get(i - 1);
+      Interval later = sorted.get(i);
+      if (later.startMicros < earlier.endMicrosOrMax()) {
+        found.add("runs twice: " + task + " on " + earlier.host + " and " + later.host);
       }
     }
   }
 
-  /** Teams whose tasks used more than a limit at some time, in words, each once. */
+  /** Returns a description of each team's first excess over its limit. */
   List<String> exceededLimits(List<Settings.Team> teams, Function<String, TeamUse> useOfTask) {
     Map<String, ResourceUse> usage = new HashMap<>();
     Map<String, String> found = new HashMap<>();
-    for (Step step : steps()) {
-      TeamUse task = useOfTask.apply(step.interval().task);
+    for (Boundary boundary : boundaries()) {
+      TeamUse task = useOfTask.apply(boundary.interval().task);
       ResourceUse before = usage.getOrDefault(task.team(), ResourceUse.NONE);
-      ResourceUse now = step.start() ? before.plus(task.use()) : before.minus(task.use());
+      ResourceUse now = boundary.start() ? before.plus(task.use()) : before.minus(task.use());
       usage.put(task.team(), now);
       for (Settings.Team team : teams) {
-        if (step.start() && team.name().equals(task.team()) && now.exceeds(team)) {
+        if (boundary.start() && team.name().equals(task.team()) && now.exceeds(team)) {
           found.putIfAbsent(
               team.name(),
               "quota: "
@@ -102,23 +104,24 @@
                   + " uses "
                   + now
                   + " with "
-                  + step.interval().task
+                  + boundary.interval().task
                   + " at "
-                  + step.micros());
+                  + boundary.micros());
         }
       }
     }
     return List.copyOf(found.values());
   }
 
-  /** All starts and ends by time, ends before starts of the same time. */
-  private List<Step> steps() {
-    List<Step> steps = new ArrayList<>();
+  /** Returns all starts and ends in the order of time; ends come before starts of the same time. */
+  private List<Boundary> boundaries() {
+    List<Boundary> boundaries = new ArrayList<>();
     for (Interval interval : intervals) {
-      steps.add(new Step(interval.from, true, interval));
-      interval.until.ifPresent(until -> steps.add(new Step(until, false, interval)));
+      boundaries.add(new Boundary(interval.startMicros, true, interval));
+      interval.endMicros.ifPresent(
+          endMicros -> boundaries.add(new Boundary(endMicros, false, interval)));
     }
-    steps.sort(Comparator.comparingLong(Step::micros).thenComparing(Step::start));
-    return steps;
+    boundaries.sort(Comparator.comparingLong(Boundary::micros).thenComparing(Boundary::start));
+    return boundaries;
   }
 }
--- a/src/test/java/gladeknot/standin/StoredQuotaChecker.java
+++ b/src/test/java/gladeknot/standin/StoredQuotaChecker.java
@@ -10,14 +10,14 @@
 import java.util.function.Consumer;
 
 /**
- * Checks after each transaction what the state service holds: the attempts recorded in a shard use
- * no more of a team's limit than the shard's share, and the shares together are no more than the
- * limit. A recorded attempt counts until its end is committed, since the owner of its shard may
- * start it again until then.
+ * Checks the stored quota after each transaction: the attempts recorded in a shard use no more of a
+ * team's limit than the shard's share, and the shares together do not exceed the limit. A recorded
+ * attempt counts until its end is committed, because the owner of its shard may start it again
+ * until then.
  */
 final class StoredQuotaChecker implements FakeStateStore.ChangeListener {
-  private static final String TEAMS = "g/team/";
-  private static final String SEGMENTS = "g/sl/";
+  private static final String TEAM_PREFIX = "g/team/";
+  private static final String SEGMENT_PREFIX = "g/sl/";
   private static final int TEAM_FIELD = 0;
   private static final int CPUS_FIELD = 1;
   private static final int GPUS_FIELD = 2;
@@ -26,7 +26,7 @@
   private final int shards;
   private final Consumer<String> violations;
 
-  /** What the attempts of each segment use, by team. */
+  /** Resources that the attempts of each segment use, by segment and team. */
   private final Map<String, Map<String, ResourceUse>> usageBySegment = new TreeMap<>();
 
   private final Map<String, List<ResourceUse>> sharesByTeam = new HashMap<>();
@@ -40,11 +40,11 @@
 
   @Override
   public void changed(String key, Map<String, Object> value) {
-    if (key.startsWith(SEGMENTS)) {
+    if (key.startsWith(SEGMENT_PREFIX)) {
       usageBySegment.put(key, value == null ? Map.of() : usage(value));
       changed = true;
-    } else if (key.startsWith(TEAMS) && value != null) {
-      sharesChanged(key.substring(TEAMS.length()), shares(value));
+    } else if (key.startsWith(TEAM_PREFIX) && value != null) {
+      sharesChanged(key.substring(TEAM_PREFIX.length()), shares(value));
       changed = true;
     }
   }
@@ -80,17 +80,20 @@
         : 0;
   }
 
-  /** After a limit was lowered the sum is above it for a while, and only gets smaller. */
+  /**
+   * Reports shares that add up to more than the team's limit. After a limit was lowered, the sum
+   * may exceed it for a while but must decrease with each change.
+   */
   private void sharesChanged(String team, List<ResourceUse> shares) {
     List<ResourceUse> before = sharesByTeam.put(team, shares);
     ResourceUse sum = sum(shares);
-    boolean smaller =
+    boolean decreased =
         before != null
             && sum.cpus() <= sum(before).cpus()
             && sum.gpus() <= sum(before).gpus()
             && !sum.equals(sum(before));
-    for (Settings.Team limited : limits.teams()) {
-      if (limited.name().equals(team) && sum.exceeds(limited) && !smaller) {
+    for (Settings.Team limitedTeam : limits.teams()) {
+      if (limitedTeam.name().equals(team) && sum.exceeds(limitedTeam) && !decreased) {
         violations.accept("quota: shares of " + team + " add up to " + sum);
       }
     }
@@ -132,11 +135,11 @@
     }
   }
 
-  /** What the attempts recorded in a shard use for a team. */
+  /** Returns the resources that the attempts recorded in a shard use for a team. */
   ResourceUse recordedUsage(String team, int shard) {
     ResourceUse used = ResourceUse.NONE;
     for (Map.Entry<String, Map<String, ResourceUse>> segment : usageBySegment.entrySet()) {
-      if (segment.getKey().startsWith(SEGMENTS + shard + "/")) {
+      if (segment.getKey().startsWith(SEGMENT_PREFIX + shard + "/")) {
         used = used.plus(segment.getValue().getOrDefault(team, ResourceUse.NONE));
       }
     }
--- a/src/test/java/gladeknot/standin/StoredSliceChecker.java
+++ b/src/test/java/gladeknot/standin/StoredSliceChecker.java
@@ -14,19 +14,19 @@
 import java.util.function.Consumer;
 
 /**
- * Checks after each transaction what the state service holds: a slice has one record, and each task
- * of an active job belongs to one slice, whose shard's owner alone may start it. A shard without a
- * record of a job has its even share of the tasks.
+ * Checks the stored slices after each transaction: each slice of a job has at most one record, and
+ * each task of an active job belongs to at most one slice. Only the owner of that slice's shard may
+ * start the task. A shard without a record of a job holds its even share of the job's tasks.
  */
 final class StoredSliceChecker implements FakeStateStore.ChangeListener {
-  private static final String SEGMENTS = "g/sl/";
+  private static final String SEGMENT_PREFIX = "g/sl/";
 
   private final int shards;
   private final Consumer<String> violations;
   private final Map<String, Map<String, Object>> segments = new HashMap<>();
   private final Map<String, Job> activeJobs = new HashMap<>();
 
-  /** By job, the tasks that each segment's record assigns. */
+  /** Tasks that each segment's record assigns, by job and segment. */
   private final Map<String, Map<String, BitSet>> assignedByJob = new HashMap<>();
 
   private final Set<String> changedJobs = new HashSet<>();
@@ -38,7 +38,7 @@
 
   @Override
   public void changed(String key, Map<String, Object> value) {
-    if (key.startsWith(SEGMENTS)) {
+    if (key.startsWith(SEGMENT_PREFIX)) {
       segmentChanged(key, value == null ? Map.of() : value);
     } else if (key.startsWith(Job.KEY_PREFIX)) {
       jobChanged(key.substring(Job.KEY_PREFIX.length()), value);
@@ -66,7 +66,7 @@
     }
   }
 
-  /** A task that is claimed from a slice may not have been started there. */
+  /** Reports tasks that were claimed from a slice although they had been started there. */
   private void checkStartedTasksStay(String job, Object before, Object after) {
     if (before == null || after == null) {
       return;
@@ -95,43 +95,49 @@
     for (String id : changedJobs) {
       Job job = activeJobs.get(id);
       if (job != null) {
-        check(job);
+        checkSlices(job);
       }
     }
     changedJobs.clear();
   }
 
-  private void check(Job job) {
+  private void checkSlices(Job job) {
     Map<String, BitSet> records = assignedByJob.getOrDefault(job.id(), Map.of());
     Map<Integer, String> segmentByShard = new HashMap<>();
     BitSet assigned = new BitSet();
     for (Map.Entry<String, BitSet> record : records.entrySet()) {
-      String other = segmentByShard.put(RecordedSlices.shardOf(record.getKey()), record.getKey());
-      if (other != null) {
+      String otherSegment =
+          segmentByShard.put(RecordedSlices.shardOf(record.getKey()), record.getKey());
+      if (otherSegment != null) {
         violations.accept(
-            "ran_twice: a slice of " + job.id() + " is in " + other + " and " + record.getKey());
+            "ran_twice: a slice of "
+                + job.id()
+                + " is in "
+                + otherSegment
+                + " and "
+                + record.getKey());
       }
-      add(job, record.getKey(), record.getValue(), assigned);
+      addAssigned(job, record.getKey(), record.getValue(), assigned);
     }
     for (int shard = 0; shard < shards; shard++) {
       if (!segmentByShard.containsKey(shard)) {
         BitSet share = RecordedSlices.unrecorded(job, shard, shards);
-        add(job, "no segment of shard " + shard, share, assigned);
+        addAssigned(job, "no segment of shard " + shard, share, assigned);
       }
     }
   }
 
-  private void add(Job job, String place, BitSet tasks, BitSet assigned) {
+  private void addAssigned(Job job, String location, BitSet tasks, BitSet assigned) {
     if (assigned.intersects(tasks)) {
-      BitSet twice = (BitSet) assigned.clone();
-      twice.and(tasks);
+      BitSet assignedTwice = (BitSet) assigned.clone();
+      assignedTwice.and(tasks);
       violations.accept(
           "ran_twice: tasks "
-              + twice
+              + assignedTwice
               + " of "
               + job.id()
               + " are assigned twice, also in "
-              + place);
+              + location);
     }
     assigned.or(tasks);
   }
