--- a/src/test/java/gladeknot/standin/History.java
+++ b/src/test/java/gladeknot/standin/History.java
@@ -21,8 +21,8 @@
  */
 public final class History implements FakeStateStore.ChangeListener {
   private static final String DONE = "done";
-  private static final String WITHDRAWN = "withdrawn";
-  private static final String SLICES = "g/sl/";
+  private static final String CANCELLED = "withdrawn";
+  private static final String SEGMENT_PREFIX = "g/sl/";
   private static final String DEFAULT_TEAM = "dev";
   private static final TeamUse UNKNOWN_JOB = new TeamUse(DEFAULT_TEAM, ResourceUse.of(1, 0));
 
@@ -33,13 +33,13 @@
   private final StoredQuotaChecker storedQuota;
   private final StoredSliceChecker storedSlices;
   private final ExecutionIntervals intervals = new ExecutionIntervals();
-  private final Map<String, Integer> sizes = new HashMap<>();
+  private final Map<String, Integer> taskCounts = new HashMap<>();
   private final Set<String> gangs = new HashSet<>();
-  private final Map<String, TeamUse> uses = new HashMap<>();
-  private final Map<String, Set<String>> completed = new HashMap<>();
-  private final Map<String, FinalPhase> finals = new HashMap<>();
+  private final Map<String, TeamUse> usageByJob = new HashMap<>();
+  private final Map<String, Set<String>> completedTasks = new HashMap<>();
+  private final Map<String, FinalPhase> finalPhases = new HashMap<>();
   private final Set<String> accepted = new HashSet<>();
-  private final Set<Recorded> committed = new HashSet<>();
+  private final Set<Recorded> committedAttempts = new HashSet<>();
   private final Set<String> violations = new LinkedHashSet<>();
   private int starts;
 
@@ -48,7 +48,7 @@
     this(cancelMicros, List.of(), 0);
   }
 
-  /** Creates an empty history of a cluster with teams and so many shards. */
+  /** Creates an empty history of a cluster with the given teams and number of shards. */
   public History(long cancelMicros, List<Settings.Team> teams, int shards) {
     this.cancelMicros = cancelMicros;
     this.teams = teams;
@@ -68,8 +68,8 @@
 
   /** Records that a user submits a job of a team. */
   synchronized void submitted(String job, int tasks, String team, ResourceUse use) {
-    sizes.put(job, tasks);
-    uses.put(job, new TeamUse(team, use));
+    taskCounts.put(job, tasks);
+    usageByJob.put(job, new TeamUse(team, use));
   }
 
   /** Records a committed change of a key of the state service; null data deletes the key. */
@@ -77,11 +77,12 @@
   public synchronized void changed(String key, Map<String, Object> data) {
     storedQuota.changed(key, data);
     storedSlices.changed(key, data);
-    if (!key.startsWith(SLICES) || data == null) {
+    if (!key.startsWith(SEGMENT_PREFIX) || data == null) {
       return;
     }
     data.forEach(
-        (job, record) -> committed.addAll(RecordedAttempts.of(job, String.valueOf(record))));
+        (job, record) ->
+            committedAttempts.addAll(RecordedAttempts.of(job, String.valueOf(record))));
   }
 
   @Override
@@ -93,7 +94,7 @@
   /** Records that a worker starts an attempt. */
   public synchronized void started(String host, String task, long number, long micros) {
     starts++;
-    if (!committed.contains(new Recorded(task, number, host))) {
+    if (!committedAttempts.contains(new Recorded(task, number, host))) {
       violations.add("order without its commit: " + task + " attempt " + number + " on " + host);
     }
     intervals.started(host, task, number, micros);
@@ -105,21 +106,21 @@
     intervals.ended(host, task, number, micros);
     checkCancelled(task, micros);
     if (done) {
-      completed.computeIfAbsent(jobOf(task), key -> new HashSet<>()).add(task);
+      completedTasks.computeIfAbsent(jobOf(task), key -> new HashSet<>()).add(task);
     }
   }
 
   private void checkCancelled(String task, long micros) {
-    FinalPhase outcome = finals.get(jobOf(task));
+    FinalPhase outcome = finalPhases.get(jobOf(task));
     if (outcome != null
-        && outcome.phase().equals(WITHDRAWN)
+        && outcome.phase().equals(CANCELLED)
         && micros > outcome.micros() + cancelMicros) {
       violations.add("of a cancelled job after its time: " + task);
     }
   }
 
   private TeamUse useOf(String task) {
-    return uses.getOrDefault(jobOf(task), UNKNOWN_JOB);
+    return usageByJob.getOrDefault(jobOf(task), UNKNOWN_JOB);
   }
 
   private static String jobOf(String task) {
@@ -129,16 +130,16 @@
   /** Records the phase of a job that a controller answered to a user. */
   public synchronized void phaseObserved(String job, String phase, long micros) {
     accepted.add(job);
-    FinalPhase earlier = finals.get(job);
+    FinalPhase earlier = finalPhases.get(job);
     if (earlier != null && !earlier.phase().equals(phase)) {
       violations.add("two answers: " + job + " " + earlier.phase() + " then " + phase);
     }
-    if (earlier == null && (phase.equals(DONE) || phase.equals(WITHDRAWN))) {
-      finals.put(job, new FinalPhase(phase, micros));
+    if (earlier == null && (phase.equals(DONE) || phase.equals(CANCELLED))) {
+      finalPhases.put(job, new FinalPhase(phase, micros));
     }
-    int done = completed.getOrDefault(job, Set.of()).size();
-    int needed = gangs.contains(job) ? 1 : sizes.getOrDefault(job, 0);
-    if (phase.equals(DONE) && done < needed) {
+    int done = completedTasks.getOrDefault(job, Set.of()).size();
+    int neededTasks = gangs.contains(job) ? 1 : taskCounts.getOrDefault(job, 0);
+    if (phase.equals(DONE) && done < neededTasks) {
       violations.add("called done with " + done + " tasks done: " + job);
     }
   }
@@ -162,8 +163,8 @@
 
   /** Returns the jobs for which no user has observed a final phase. */
   public synchronized Set<String> unfinishedJobs() {
-    Set<String> unfinished = new TreeSet<>(sizes.keySet());
-    unfinished.removeAll(finals.keySet());
+    Set<String> unfinished = new TreeSet<>(taskCounts.keySet());
+    unfinished.removeAll(finalPhases.keySet());
     return unfinished;
   }
 
--- a/src/test/java/gladeknot/standin/HistoryTest.java
+++ b/src/test/java/gladeknot/standin/HistoryTest.java
@@ -9,7 +9,10 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Histories that the checker must reject, each for its own reason, and one that it must accept. */
+/**
+ * Checks that {@link History} rejects histories with a violation, each for its own reason, and
+ * accepts a valid one.
+ */
 class HistoryTest {
   private static final long CANCEL = 20;
   private static final String KEY = "g/sl/0/a0";
@@ -24,7 +27,7 @@
     history.changed(KEY, Map.of("req-a", "dev|1000|0|1000|3|0-1||" + attempts));
   }
 
-  private static void ordinary(History history) {
+  private static void addValidRun(History history) {
     history.submitted("req-a", 2);
     commit(history, "0:1:vm-1,1:2:vm-2");
     history.phaseObserved("req-a", "queued", 1);
@@ -96,19 +99,19 @@
           new Case(
               "forgotten",
               history -> {
-                ordinary(history);
+                addValidRun(history);
                 history.denied("req-a", 404);
               }),
           new Case(
               "two answers",
               history -> {
-                ordinary(history);
+                addValidRun(history);
                 history.phaseObserved("req-a", "running", 9);
               }),
           new Case(
               "two answers",
               history -> {
-                ordinary(history);
+                addValidRun(history);
                 history.phaseObserved("req-a", "withdrawn", 9);
               }),
           new Case(
@@ -145,16 +148,16 @@
               }));
 
   @Test
-  void anOrdinaryHistoryIsAccepted() {
+  void acceptsValidHistory() {
     History history = newHistory();
-    ordinary(history);
+    addValidRun(history);
     assertEquals(List.of(), history.violations(100));
     assertTrue(history.unfinishedJobs().isEmpty());
     assertEquals(2, history.starts());
   }
 
   @Test
-  void aGangIsDoneOnceOneOfItsTasksIs() {
+  void acceptsDoneGangWithOneCompletedTask() {
     History history = newHistory();
     history.submitted("req-a", 2);
     history.submittedAsGang("req-a");
@@ -168,7 +171,7 @@
   }
 
   @Test
-  void eachViolationIsFound() {
+  void reportsEachViolation() {
     for (Case testCase : REJECTED) {
       History history = newHistory();
       testCase.history().accept(history);
@@ -179,7 +182,7 @@
   }
 
   @Test
-  void aJobWithoutAFinalAnswerIsOpen() {
+  void jobWithoutFinalPhaseIsUnfinished() {
     History history = newHistory();
     history.submitted("req-b", 1);
     history.phaseObserved("req-b", "running", 1);
