--- a/src/test/java/gladeknot/standin/FakeCloud.java
+++ b/src/test/java/gladeknot/standin/FakeCloud.java
@@ -8,19 +8,21 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A small cloud: one or two machine types in two zones, with a limit on machines. */
+/** A small cloud with one or two machine types in two zones and a maximum number of machines. */
 public final class FakeCloud {
-  /** A rented machine, which is up from a point of time on. */
+  /** A rented machine; {@code upMicros} is the time at which it has booted. */
   public record Machine(String id, String type, String zone, boolean spot, long upMicros) {}
 
-  /** The name of the machine type with GPUs. */
+  /** Name of the machine type with GPUs. */
   static final String GPU_TYPE = "gpu";
 
   private static final double MICROS_PER_SECOND = 1e6;
 
   private final TreeMap<String, Machine> machines = new TreeMap<>();
 
-  /** The machines of each rental by its name, for repeated requests. */
+  /**
+   * Machines of each rental by the rental's name, so that repeated requests get the same answer.
+   */
   private final Map<String, List<String>> rentals = new HashMap<>();
 
   private final int capacity;
@@ -30,12 +32,18 @@
   private int nextMachine = 1;
   private long changes;
 
-  /** A cloud of at most so many machines, each up after the given time. */
+  /**
+   * Creates a cloud of at most {@code capacity} machines, each of which takes {@code bootMicros} to
+   * boot.
+   */
   public FakeCloud(int capacity, long bootMicros) {
     this(capacity, 0, bootMicros);
   }
 
-  /** The same with a second machine type, {@link #GPU_TYPE}, that has so many GPUs. */
+  /**
+   * Creates a cloud with a second machine type, {@link #GPU_TYPE}, whose machines have {@code gpus}
+   * GPUs each.
+   */
   public FakeCloud(int capacity, int gpus, long bootMicros) {
     this.capacity = capacity;
     this.gpus = gpus;
@@ -47,23 +55,23 @@
     nowMicros = now;
   }
 
-  /** All rented machines by name. */
+  /** Returns all rented machines, in the order of their names. */
   public List<Machine> machines() {
     return List.copyOf(machines.values());
   }
 
-  /** Takes a machine back. */
+  /** Takes a machine back without a request to release it. */
   public void take(String host) {
     machines.remove(host);
     changes++;
   }
 
-  /** How many times machines have been rented or given back. */
+  /** Returns the number of times that machines have been rented, released or taken back. */
   public long changes() {
     return changes;
   }
 
-  /** Names used in rentals so far. */
+  /** Returns the number of rentals so far, counted by their names. */
   public int rentals() {
     return rentals.size();
   }
@@ -119,7 +127,10 @@
     return host;
   }
 
-  /** Rents machines, fewer than asked for if there are not so many; a repeat gets the same. */
+  /**
+   * Rents machines; rents fewer than requested if the capacity is reached. A repeated request gets
+   * the same machines.
+   */
   private ServiceResponse rent(Map<String, Object> request) {
     String name = Json.text(request, "hire");
     List<String> hosts = rentals.get(name);
--- a/src/test/java/gladeknot/standin/FakeStateStore.java
+++ b/src/test/java/gladeknot/standin/FakeStateStore.java
@@ -8,25 +8,25 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The state service of the protocol, in memory, driven by the time that {@link #advance} sets. */
+/** In-memory state service that serves the protocol; {@link #advance} sets its time. */
 public final class FakeStateStore {
-  /** Is notified of each change as it is committed. */
+  /** Listener that is notified of each change as it is committed. */
   public interface ChangeListener {
-    /** A key has a new value; null if it was deleted. */
+    /** Called when a key has a new value; the value is null if the key was deleted. */
     void changed(String key, Map<String, Object> value);
 
-    /** All changes of a transaction have been notified. */
+    /** Called when all changes of a transaction have been notified. */
     default void transactionCommitted() {}
   }
 
-  private static final int VALUE_BYTES = 8192;
-  private static final int WRITES = 16;
-  private static final int CONDITIONS_PER_WRITE = 4;
-  private static final int TRANSACTION_BYTES = 64 * 1024;
+  private static final int DEFAULT_MAX_VALUE_BYTES = 8192;
+  private static final int DEFAULT_MAX_WRITES = 16;
+  private static final int MAX_CONDITIONS_PER_WRITE = 4;
+  private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
 
   private record Value(Map<String, Object> data, long revision, long lease) {}
 
-  /** A change; the data is null if the key was deleted. */
+  /** A change of a key; the data is null if the key was deleted. */
   private record Change(String key, Map<String, Object> data, long revision) {}
 
   private static final class Lease {
@@ -45,52 +45,55 @@
   private final TreeMap<String, Value> keys = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
   private final List<Change> changes = new ArrayList<>();
-  private long epoch;
+  private long revision;
   private long writes;
   private long nextLease = 1;
   private long nowMicros;
-  private int maxWrites = WRITES;
-  private int maxValueBytes = VALUE_BYTES;
+  private int maxWrites = DEFAULT_MAX_WRITES;
+  private int maxValueBytes = DEFAULT_MAX_VALUE_BYTES;
   private final List<ChangeListener> changeListeners = new ArrayList<>();
   private int rejectedForSize;
   private int commits;
 
-  /** Limits the writes of a transaction; it may have four times as many conditions. */
+  /**
+   * Limits the number of writes of a transaction; a transaction may have four times as many
+   * preconditions.
+   */
   public void limitWrites(int most) {
     maxWrites = most;
   }
 
-  /** Limits the JSON bytes of a value. */
+  /** Limits the size of a value in bytes of JSON. */
   public void limitValueBytes(int most) {
     maxValueBytes = most;
   }
 
-  /** Adds a listener of changes; none at first. */
+  /** Adds a listener of changes; initially there is none. */
   void addChangeListener(ChangeListener listener) {
     changeListeners.add(listener);
   }
 
-  /** How many transactions were rejected for their size. */
+  /** Returns the number of transactions that were rejected because of their size. */
   public int rejectedForSize() {
     return rejectedForSize;
   }
 
-  /** How many transactions changed something. */
+  /** Returns the number of transactions that changed something. */
   public int commits() {
     return commits;
   }
 
-  /** Puts and deletes so far. */
+  /** Returns the number of keys written and deleted so far. */
   public long writes() {
     return writes;
   }
 
-  /** Sets the time and ends leases that have expired. */
+  /** Sets the time and ends the leases that have expired. */
   public void advance(long now) {
     nowMicros = now;
     for (Long lease : List.copyOf(leases.keySet())) {
       if (leases.get(lease).expiresMicros <= now) {
-        expire(lease);
+        expireLease(lease);
       }
     }
   }
@@ -100,21 +103,21 @@
     nowMicros = now;
   }
 
-  /** All leases get their full time again, as after an outage. */
+  /** Renews all leases for their full time, as after an outage. */
   public void renewAll() {
     leases.values().forEach(lease -> lease.renew(nowMicros));
   }
 
-  private void expire(long lease) {
+  private void expireLease(long lease) {
     leases.remove(lease);
-    List<String> attached =
+    List<String> attachedKeys =
         keys.entrySet().stream()
             .filter(entry -> entry.getValue().lease() == lease)
             .map(Map.Entry::getKey)
             .toList();
-    if (!attached.isEmpty()) {
-      epoch++;
-      attached.forEach(key -> change(key, null, 0));
+    if (!attachedKeys.isEmpty()) {
+      revision++;
+      attachedKeys.forEach(key -> change(key, null, 0));
     }
   }
 
@@ -123,33 +126,33 @@
     if (data == null) {
       keys.remove(key);
     } else {
-      keys.put(key, new Value(data, epoch, lease));
+      keys.put(key, new Value(data, revision, lease));
     }
-    changes.add(new Change(key, data, epoch));
+    changes.add(new Change(key, data, revision));
     changeListeners.forEach(listener -> listener.changed(key, data));
   }
 
-  /** The value of a key; null if there is none. */
+  /** Returns the value of a key; null if there is none. */
   public Map<String, Object> get(String key) {
     Value value = keys.get(key);
     return value == null ? null : value.data();
   }
 
-  /** Changes a key as no controller would. */
+  /** Overwrites a key directly, without the preconditions that a controller would send. */
   public void overwrite(String key, Map<String, Object> data) {
-    epoch++;
+    revision++;
     change(key, data, 0);
     changeListeners.forEach(ChangeListener::transactionCommitted);
   }
 
-  /** All keys with a prefix, in order. */
+  /** Returns all keys with a prefix, in order. */
   public List<String> keys(String prefix) {
     return List.copyOf(keys.subMap(prefix, prefix + Character.MAX_VALUE).keySet());
   }
 
-  /** Whether anything has changed after a revision. */
+  /** Returns whether anything has changed after a revision. */
   public boolean changedSince(long from) {
-    return epoch > from;
+    return revision > from;
   }
 
   /** Serves a request; a watch is answered at once. */
@@ -162,16 +165,16 @@
       return read(path.substring("/kv/".length()));
     }
     if (path.equals("/follow")) {
-      return follow(query(uri));
+      return watch(query(uri));
     }
     if (path.equals("/commit")) {
       return commit(Json.object(body));
     }
     if (path.equals("/holds")) {
-      return grant(Json.num(Json.object(body), "ttlMs", 0) * 1000);
+      return grantLease(Json.num(Json.object(body), "ttlMs", 0) * 1000);
     }
     if (path.endsWith("/extend")) {
-      return extend(Long.parseLong(path.split("/")[2]));
+      return renewLease(Long.parseLong(path.split("/")[2]));
     }
     return new ServiceResponse(400, Json.of("error", "unknown request"));
   }
@@ -179,19 +182,19 @@
   private ServiceResponse read(String key) {
     Value value = keys.get(key);
     return value == null
-        ? new ServiceResponse(404, Json.of("epoch", epoch))
+        ? new ServiceResponse(404, Json.of("epoch", revision))
         : new ServiceResponse(
             200, Json.of("path", key, "data", value.data(), "stamp", value.revision()));
   }
 
-  private ServiceResponse grant(long ttlMicros) {
+  private ServiceResponse grantLease(long ttlMicros) {
     Lease lease = new Lease(ttlMicros);
     lease.renew(nowMicros);
     leases.put(nextLease, lease);
     return new ServiceResponse(200, Json.of("grant", nextLease++));
   }
 
-  private ServiceResponse extend(long id) {
+  private ServiceResponse renewLease(long id) {
     Lease lease = leases.get(id);
     if (lease == null) {
       return new ServiceResponse(404, Json.of());
@@ -200,7 +203,7 @@
     return new ServiceResponse(200, Json.of());
   }
 
-  /** The parameters of a request's query. */
+  /** Returns the parameters of a request's query. */
   static Map<String, String> query(String uri) {
     Map<String, String> query = new HashMap<>();
     if (uri.contains("?")) {
@@ -227,10 +230,10 @@
       Value value = keys.get(key);
       items.add(Json.of("path", key, "data", value.data(), "stamp", value.revision()));
     }
-    return new ServiceResponse(200, Json.of("items", items, "more", more, "epoch", epoch));
+    return new ServiceResponse(200, Json.of("items", items, "more", more, "epoch", revision));
   }
 
-  private ServiceResponse follow(Map<String, String> query) {
+  private ServiceResponse watch(Map<String, String> query) {
     long from = Long.parseLong(query.get("from"));
     List<Object> events = new ArrayList<>();
     for (Change change : changes) {
@@ -238,7 +241,7 @@
         events.add(event(change));
       }
     }
-    return new ServiceResponse(200, Json.of("epoch", epoch, "events", events));
+    return new ServiceResponse(200, Json.of("epoch", revision, "events", events));
   }
 
   private static Map<String, Object> event(Change change) {
@@ -247,7 +250,7 @@
         : Json.of("write", change.key(), "data", change.data(), "stamp", change.revision());
   }
 
-  private boolean fits(Map<String, Object> transaction) {
+  private boolean fitsLimits(Map<String, Object> transaction) {
     List<Map<String, Object>> changed = Json.objects(transaction, "writes");
     boolean values = true;
     for (Map<String, Object> write : changed) {
@@ -255,12 +258,12 @@
     }
     return values
         && changed.size() <= maxWrites
-        && Json.objects(transaction, "if").size() <= CONDITIONS_PER_WRITE * maxWrites
-        && Json.bytes(transaction).length <= TRANSACTION_BYTES;
+        && Json.objects(transaction, "if").size() <= MAX_CONDITIONS_PER_WRITE * maxWrites
+        && Json.bytes(transaction).length <= MAX_TRANSACTION_BYTES;
   }
 
   private ServiceResponse commit(Map<String, Object> transaction) {
-    if (!fits(transaction)) {
+    if (!fitsLimits(transaction)) {
       rejectedForSize++;
       return new ServiceResponse(400, Json.of("error", "too many operations"));
     }
@@ -273,15 +276,15 @@
     }
     List<String> failed = failedConditions(transaction);
     if (!failed.isEmpty()) {
-      return new ServiceResponse(409, Json.of("failed", failed, "epoch", epoch));
+      return new ServiceResponse(409, Json.of("failed", failed, "epoch", revision));
     }
     if (!changed.isEmpty()) {
-      epoch++;
+      revision++;
       commits++;
       changed.forEach(this::apply);
       changeListeners.forEach(ChangeListener::transactionCommitted);
     }
-    return new ServiceResponse(200, Json.of("epoch", epoch));
+    return new ServiceResponse(200, Json.of("epoch", revision));
   }
 
   private List<String> failedConditions(Map<String, Object> transaction) {
