--- a/src/test/java/gladeknot/standin/LoopbackFaults.java
+++ b/src/test/java/gladeknot/standin/LoopbackFaults.java
@@ -11,10 +11,11 @@
 import java.util.function.Consumer;
 
 /**
- * Faults of a cluster of real processes, drawn from a seed: processes that are killed, suspended
- * and started again, links that lose, delay or refuse traffic in one direction, a state service
- * that refuses, loses answers or carries out late, machines that freeze, are cut off or receive
- * nothing, late copies. Several last at the same time; each ends by itself.
+ * Injects faults into a cluster of real processes, drawn from a seed. Processes are killed,
+ * suspended and started again. Links lose, delay or refuse traffic in one direction. The state
+ * service refuses calls, loses answers or carries out transactions late. Machines freeze, are cut
+ * off or receive nothing. Messages are duplicated and arrive late. Several faults may be active at
+ * the same time; each ends after a drawn duration.
  */
 final class LoopbackFaults {
   private static final int MAX_ACTIVE = 3;
@@ -22,20 +23,23 @@
   private static final long MIN_LAG_MILLIS = 100;
   private static final long MAX_LAG_MILLIS = 3_000;
 
-  /** One watch is current for so many steps on average, then another. */
-  private static final int STEPS_OF_LAG = 3;
+  /**
+   * Average number of steps for which one controller's watch stays current before another is
+   * chosen.
+   */
+  private static final int MEAN_STEPS_PER_WATCH_CHANGE = 3;
 
-  /** Something that may fail, as a step of a fault. */
+  /** Action that ends a fault and may fail. */
   private interface Action {
     void run() throws IOException, InterruptedException;
   }
 
-  private record Active(long untilMicros, Action end) {}
+  private record ActiveFault(long untilMicros, Action end) {}
 
   private final LoopbackCluster cluster;
   private final int controllers;
   private final SplittableRandom random;
-  private final List<Active> active = new ArrayList<>();
+  private final List<ActiveFault> active = new ArrayList<>();
   private final Set<Integer> busyNodes = new TreeSet<>();
   private final List<String> log = new ArrayList<>();
   private final long startMicros = LoopbackServices.now();
@@ -46,14 +50,14 @@
     this.random = new SplittableRandom(seed);
   }
 
-  /** What was drawn, a line for each fault. */
+  /** Returns a line for each fault that was drawn. */
   List<String> log() {
     return log;
   }
 
-  /** Ends the faults that are over, and perhaps begins another. */
+  /** Ends the faults whose duration is over, and may begin another fault. */
   void step() throws IOException, InterruptedException {
-    for (Active fault : List.copyOf(active)) {
+    for (ActiveFault fault : List.copyOf(active)) {
       if (LoopbackServices.now() >= fault.untilMicros()) {
         active.remove(fault);
         fault.end().run();
@@ -64,24 +68,26 @@
     }
   }
 
-  /** Holds back the answers to all controllers' watches but one's, beside all other faults. */
+  /**
+   * Delays the answers to the watches of all controllers but one, in addition to all other faults.
+   */
   void holdBackWatches() {
-    if (random.nextInt(STEPS_OF_LAG) > 0) {
+    if (random.nextInt(MEAN_STEPS_PER_WATCH_CHANGE) > 0) {
       return;
     }
     StateServiceFaults faults = cluster.services().stateFaults();
-    int current = random.nextInt(controllers);
+    int currentNode = random.nextInt(controllers);
     long lagMillis = random.nextLong(MIN_LAG_MILLIS, MAX_LAG_MILLIS);
     for (int node = 0; node < controllers; node++) {
-      faults.delayWatch(node, node == current ? 0 : lagMillis);
+      faults.delayWatch(node, node == currentNode ? 0 : lagMillis);
     }
-    log.add(elapsed() + " s: watches but node-" + current + "'s lag by " + lagMillis + " ms");
+    log.add(elapsed() + " s: watches but node-" + currentNode + "'s lag by " + lagMillis + " ms");
   }
 
   /** Ends all faults. */
   void endAll() throws IOException, InterruptedException {
     while (!active.isEmpty()) {
-      // The end of a fault may begin another one.
+      // Ending a fault may begin another one.
       active.remove(0).end().run();
     }
     cluster.services().stateFaults().clear();
@@ -92,9 +98,9 @@
     return String.format("%.1f", (LoopbackServices.now() - startMicros) / 1e6);
   }
 
-  private void last(String name, long millis, Action end) {
+  private void addActive(String name, long millis, Action end) {
     log.add(elapsed() + " s: " + name + " for " + millis + " ms");
-    active.add(new Active(LoopbackServices.now() + millis * 1000, end));
+    active.add(new ActiveFault(LoopbackServices.now() + millis * 1000, end));
   }
 
   private void begin() throws IOException, InterruptedException {
@@ -110,9 +116,10 @@
       case 8 -> delay(LoopbackCluster.stateLink(node), random.nextLong(1_000, 6_000));
       case 9 -> refuseNode(node, random.nextLong(500, 9_000));
       case 10 -> outage(random.nextLong(500, 8_000));
-      case 11 -> unanswered(random.nextLong(500, 4_000));
-      case 12 -> late(random.nextLong(500, 4_000));
-      case 13 -> ofMachines("frozen", 4, random.nextLong(500, 8_000), LoopbackWorker::freezeFor);
+      case 11 -> loseCommitAnswers(random.nextLong(500, 4_000));
+      case 12 -> commitLate(random.nextLong(500, 4_000));
+      case 13 ->
+          affectMachines("frozen", 4, random.nextLong(500, 8_000), LoopbackWorker::freezeFor);
       case 14 -> cutZone(random.nextLong(1_000, 9_000));
       case 15, 16 -> delayWatch(node, random.nextLong(2_000, 9_000));
       case 17 -> slowState(random.nextLong(1_000, 8_000));
@@ -124,7 +131,7 @@
   private void kill(int node, long millis) throws IOException, InterruptedException {
     if (busyNodes.add(node)) {
       cluster.kill(node);
-      last("kill node-" + node, millis, () -> start(node));
+      addActive("kill node-" + node, millis, () -> start(node));
     }
   }
 
@@ -134,23 +141,24 @@
     }
   }
 
-  /** Ends the controllers one after the other, each as the one before returns. */
+  /** Kills the controllers one after the other, each when the previous one has restarted. */
   private void killInTurn(long millis) throws IOException, InterruptedException {
     int first = random.nextInt(controllers);
     killNext(first, controllers, millis);
   }
 
-  private void killNext(int node, int left, long millis) throws IOException, InterruptedException {
-    if (left == 0 || !busyNodes.add(node)) {
+  private void killNext(int node, int remaining, long millis)
+      throws IOException, InterruptedException {
+    if (remaining == 0 || !busyNodes.add(node)) {
       return;
     }
     cluster.kill(node);
-    last(
+    addActive(
         "kill node-" + node + " in turn",
         millis,
         () -> {
           start(node);
-          killNext((node + 1) % controllers, left - 1, millis);
+          killNext((node + 1) % controllers, remaining - 1, millis);
         });
   }
 
@@ -162,7 +170,7 @@
   private void suspend(int node, long millis) throws IOException, InterruptedException {
     if (busyNodes.add(node)) {
       cluster.suspend(node, true);
-      last(
+      addActive(
           "suspend node-" + node,
           millis,
           () -> {
@@ -180,10 +188,10 @@
           default -> List.of(Direction.REQUESTS, Direction.ANSWERS);
         };
     directions.forEach(direction -> cluster.setMode(link, direction, Mode.DROP));
-    last("drop " + link + " " + directions, millis, () -> pass(link));
+    addActive("drop " + link + " " + directions, millis, () -> restoreLink(link));
   }
 
-  private void pass(String link) {
+  private void restoreLink(String link) {
     for (Direction direction : Direction.values()) {
       cluster.setMode(link, direction, Mode.PASS);
     }
@@ -199,26 +207,26 @@
 
   private void delay(String link, long millis) {
     cluster.delay(link, Direction.ANSWERS, DELAY_MILLIS);
-    last("delay " + link, millis, () -> pass(link));
+    addActive("delay " + link, millis, () -> restoreLink(link));
   }
 
   private void refuseNode(int node, long millis) {
     StateServiceFaults faults = cluster.services().stateFaults();
     faults.refuse(node, true);
-    last("state refuses node-" + node, millis, () -> faults.refuse(node, false));
+    addActive("state refuses node-" + node, millis, () -> faults.refuse(node, false));
   }
 
   private void outage(long millis) {
     StateServiceFaults faults = cluster.services().stateFaults();
     faults.outage(true);
-    last("state outage", millis, () -> faults.outage(false));
+    addActive("state outage", millis, () -> faults.outage(false));
   }
 
   private void delayWatch(int node, long millis) {
     StateServiceFaults faults = cluster.services().stateFaults();
     long delayMillis = random.nextLong(MIN_LAG_MILLIS, MAX_LAG_MILLIS);
     faults.delayWatch(node, delayMillis);
-    last(
+    addActive(
         "watch of node-" + node + " held back by " + delayMillis + " ms",
         millis,
         () -> faults.delayWatch(node, 0));
@@ -227,35 +235,35 @@
   private void slowState(long millis) {
     StateServiceFaults faults = cluster.services().stateFaults();
     faults.slow(true);
-    last("slow state service with 429", millis, () -> faults.slow(false));
+    addActive("slow state service with 429", millis, () -> faults.slow(false));
   }
 
-  private void unanswered(long millis) {
+  private void loseCommitAnswers(long millis) {
     StateServiceFaults faults = cluster.services().stateFaults();
     faults.unansweredShare(0.3);
-    last("lost answers of transactions", millis, () -> faults.unansweredShare(0));
+    addActive("lost answers of transactions", millis, () -> faults.unansweredShare(0));
   }
 
-  private void late(long millis) {
+  private void commitLate(long millis) {
     StateServiceFaults faults = cluster.services().stateFaults();
     faults.lateShare(0.3);
-    last("late transactions", millis, () -> faults.lateShare(0));
+    addActive("late transactions", millis, () -> faults.lateShare(0));
   }
 
   private interface MachineFault {
-    void last(LoopbackWorker worker, long micros);
+    void begin(LoopbackWorker worker, long micros);
   }
 
-  /** One machine in so many has a fault, which ends by itself. */
-  private void ofMachines(String name, int oneIn, long millis, MachineFault fault) {
-    int hit = 0;
+  /** Begins a fault on about one in {@code oneIn} machines; the fault ends by itself. */
+  private void affectMachines(String name, int oneIn, long millis, MachineFault fault) {
+    int affected = 0;
     for (LoopbackWorker worker : cluster.services().workers()) {
       if (random.nextInt(oneIn) == 0) {
-        fault.last(worker, millis * 1000);
-        hit++;
+        fault.begin(worker, millis * 1000);
+        affected++;
       }
     }
-    last(hit + " machines " + name, millis, () -> {});
+    addActive(affected + " machines " + name, millis, () -> {});
   }
 
   private void cutZone(long millis) {
@@ -264,19 +272,19 @@
         random.nextBoolean() ? LoopbackWorker::cutFor : LoopbackWorker::loseResponsesFor;
     for (LoopbackWorker worker : cluster.services().workers()) {
       if (worker.zone().equals(zone)) {
-        fault.last(worker, millis * 1000);
+        fault.begin(worker, millis * 1000);
       }
     }
-    last("zone " + zone + " cut", millis, () -> {});
+    addActive("zone " + zone + " cut", millis, () -> {});
   }
 
   private void lateMessages(long millis) {
-    Consumer<LoopbackWorker> both =
+    Consumer<LoopbackWorker> disturb =
         worker -> {
           worker.repeatHeartbeatsFor(millis * 1000);
           worker.delayCommandsFor(millis * 1000);
         };
-    cluster.services().workers().forEach(both);
-    last("late copies of heartbeats, late commands", millis, () -> {});
+    cluster.services().workers().forEach(disturb);
+    addActive("late copies of heartbeats, late commands", millis, () -> {});
   }
 }
--- a/src/test/java/gladeknot/standin/LoopbackServices.java
+++ b/src/test/java/gladeknot/standin/LoopbackServices.java
@@ -175,7 +175,7 @@
 
   private ServiceResponse serveTransaction(String method, String uri, byte[] body)
       throws IOException {
-    switch (stateFaults.fateOfTransaction()) {
+    switch (stateFaults.nextTransactionHandling()) {
       case THROTTLED -> {
         return new ServiceResponse(429, Json.of());
       }
--- a/src/test/java/gladeknot/standin/StateServiceFaults.java
+++ b/src/test/java/gladeknot/standin/StateServiceFaults.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Faults of the fake state service on loopback, by the controller that asks. */
+/** Faults of the fake state service on loopback; some affect the calls of one controller only. */
 public final class StateServiceFaults {
   private static final long MIN_LATE_MILLIS = 2_000;
   private static final long MAX_LATE_MILLIS = 8_000;
 
-  /** What becomes of a transaction. */
-  enum Fate {
+  /** The state service's handling of a transaction. */
+  enum TransactionHandling {
     ANSWERED,
     CARRIED_OUT_UNANSWERED,
     CARRIED_OUT_LATE,
@@ -22,52 +22,52 @@
   private static final long MAX_SLOW_MILLIS = 300;
   private static final double THROTTLED_SHARE = 0.15;
 
-  private final Set<Integer> refused = ConcurrentHashMap.newKeySet();
-  private final Map<Integer, Long> watchDelays = new ConcurrentHashMap<>();
+  private final Set<Integer> refusedNodes = ConcurrentHashMap.newKeySet();
+  private final Map<Integer, Long> watchDelaysMillis = new ConcurrentHashMap<>();
   private volatile boolean slow;
   private volatile boolean outage;
   private volatile double unansweredShare;
   private volatile double lateShare;
 
-  /** The service refuses everybody from now on, or serves again. */
+  /** Makes the service refuse all controllers from now on, or serve them again. */
   public void outage(boolean on) {
     outage = on;
   }
 
-  /** The service refuses one controller from now on, or serves it again. */
+  /** Makes the service refuse one controller from now on, or serve it again. */
   public void refuse(int node, boolean on) {
     if (on) {
-      refused.add(node);
+      refusedNodes.add(node);
     } else {
-      refused.remove(node);
+      refusedNodes.remove(node);
     }
   }
 
-  /** That share of transactions is carried out at once and not answered. */
+  /** Sets the share of transactions that are carried out at once and not answered. */
   public void unansweredShare(double share) {
     unansweredShare = share;
   }
 
-  /** That share of transactions is not answered and carried out seconds later. */
+  /** Sets the share of transactions that are not answered and are carried out seconds later. */
   public void lateShare(double share) {
     lateShare = share;
   }
 
-  /** All calls take longer, and a share of the transactions is refused with 429. */
+  /** Slows all calls and refuses a share of the transactions with 429, or ends this. */
   public void slow(boolean on) {
     slow = on;
   }
 
-  /** Answers to a controller's watches come so much later; all its other calls pass. */
+  /** Delays the answers to a controller's watches; its other calls are not delayed. */
   public void delayWatch(int node, long millis) {
-    watchDelays.put(node, millis);
+    watchDelaysMillis.put(node, millis);
   }
 
   /** Ends all faults. */
   public void clear() {
     slow = false;
-    watchDelays.clear();
-    refused.clear();
+    watchDelaysMillis.clear();
+    refusedNodes.clear();
     outage = false;
     unansweredShare = 0;
     lateShare = 0;
@@ -78,19 +78,21 @@
   }
 
   boolean refuses(int node) {
-    return outage || refused.contains(node);
+    return outage || refusedNodes.contains(node);
   }
 
-  Fate fateOfTransaction() {
+  TransactionHandling nextTransactionHandling() {
     ThreadLocalRandom random = ThreadLocalRandom.current();
     if (slow && random.nextDouble() < THROTTLED_SHARE) {
-      return Fate.THROTTLED;
+      return TransactionHandling.THROTTLED;
     }
-    double drawn = random.nextDouble();
-    if (drawn < unansweredShare) {
-      return Fate.CARRIED_OUT_UNANSWERED;
+    double draw = random.nextDouble();
+    if (draw < unansweredShare) {
+      return TransactionHandling.CARRIED_OUT_UNANSWERED;
     }
-    return drawn < unansweredShare + lateShare ? Fate.CARRIED_OUT_LATE : Fate.ANSWERED;
+    return draw < unansweredShare + lateShare
+        ? TransactionHandling.CARRIED_OUT_LATE
+        : TransactionHandling.ANSWERED;
   }
 
   long slowMillis() {
@@ -98,7 +100,7 @@
   }
 
   long watchDelayMillis(int node) {
-    return watchDelays.getOrDefault(node, 0L);
+    return watchDelaysMillis.getOrDefault(node, 0L);
   }
 
   long lateMillis() {
