--- a/src/test/java/gladeknot/standin/ClusterScale.java
+++ b/src/test/java/gladeknot/standin/ClusterScale.java
@@ -6,14 +6,14 @@
 /**
  * The size of a simulated cluster.
  *
- * @param machines how many machines the cloud rents out at most
- * @param machineGpus how many GPUs machines of a second type have; 0 if there is no such type
+ * @param machines maximum number of machines that the cloud rents out
+ * @param machineGpus number of GPUs of each machine of a second type; 0 if there is no such type
  * @param teams the teams with their limits, amounts in thousandths; a limit of 0 is none
- * @param stateRps requests a second that the state service takes
- * @param writeRps transactions a second that the state service takes
- * @param valueBytes largest value that the state service takes
- * @param nextValueBytes the same after its limits were lowered
- * @param nextOperations most writes of a transaction after the limits were lowered
+ * @param stateRps requests per second that the state service accepts
+ * @param writeRps transactions per second that the state service accepts
+ * @param valueBytes maximum size of a value that the state service accepts, in bytes
+ * @param nextValueBytes maximum size of a value after the limits were lowered, in bytes
+ * @param nextOperations maximum number of writes of a transaction after the limits were lowered
  */
 public record ClusterScale(
     int machines,
@@ -26,15 +26,18 @@
     int nextOperations) {
   public static final long TEAM_CPUS = 24_000;
 
-  /** Most writes of a transaction before the limits are lowered. */
+  /** Maximum number of writes of a transaction before the limits are lowered. */
   static final int OPERATIONS = 16;
 
-  private static final int VALUE_BYTES = 8192;
+  private static final int DEFAULT_VALUE_BYTES = 8192;
 
-  /** The scale of most tests: twelve machines. */
+  /** Scale of most tests: twelve machines. */
   public static final ClusterScale SMALL = new ClusterScale(12, TEAM_CPUS, 300, 150);
 
-  /** A scale with one team, machines without GPUs, and limits to come of the state service. */
+  /**
+   * Creates a scale with one team, machines without GPUs, and limits of the state service that can
+   * be lowered.
+   */
   public ClusterScale(
       int machines,
       long teamCpus,
@@ -54,18 +57,22 @@
         nextOperations);
   }
 
-  /** A scale whose limits of the state service stay as they are. */
+  /** Creates a scale whose limits of the state service stay as they are. */
   public ClusterScale(
       int machines, long teamCpus, double stateRps, double writeRps, int valueBytes) {
     this(machines, teamCpus, stateRps, writeRps, valueBytes, valueBytes, OPERATIONS);
   }
 
-  /** The same with values of 8 KiB. */
+  /**
+   * Creates a scale whose limits of the state service stay as they are, with values of up to 8 KiB.
+   */
   public ClusterScale(int machines, long teamCpus, double stateRps, double writeRps) {
-    this(machines, teamCpus, stateRps, writeRps, VALUE_BYTES);
+    this(machines, teamCpus, stateRps, writeRps, DEFAULT_VALUE_BYTES);
   }
 
-  /** The scale of most tests with other teams, on machines with so many GPUs. */
+  /**
+   * Returns the scale of most tests with other teams, on machines with {@code machineGpus} GPUs.
+   */
   public static ClusterScale withTeams(int machines, int machineGpus, Settings.Team... teams) {
     return new ClusterScale(
         machines,
@@ -73,12 +80,12 @@
         List.of(teams),
         SMALL.stateRps,
         SMALL.writeRps,
-        VALUE_BYTES,
-        VALUE_BYTES,
+        DEFAULT_VALUE_BYTES,
+        DEFAULT_VALUE_BYTES,
         OPERATIONS);
   }
 
-  /** The same with other limits of the teams, as after a change of the settings. */
+  /** Returns this scale with other limits of the teams, as after a change of the settings. */
   public ClusterScale withLimits(Settings.Team... changed) {
     return new ClusterScale(
         machines,
--- a/src/test/java/gladeknot/standin/TaskDurations.java
+++ b/src/test/java/gladeknot/standin/TaskDurations.java
@@ -2,27 +2,30 @@
 
 import static gladeknot.standin.SimulatedClock.SECOND;
 
-/** How long tasks run, by the names of their jobs. */
+/** Durations of tasks, by the names of their jobs. */
 final class TaskDurations {
-  private static final long FOREVER = Long.MAX_VALUE / 4;
-  private static final long FIRST_STAGGERED_S = 2;
-  private static final long STAGGER_S = 18;
+  private static final long FOREVER_MICROS = Long.MAX_VALUE / 4;
+  private static final long FIRST_STAGGERED_SECONDS = 2;
+  private static final long STAGGER_SECONDS = 18;
 
-  private long usual = 6 * SECOND;
+  private long defaultMicros = 6 * SECOND;
 
-  /** Sets how long tasks run that end by themselves. */
+  /** Sets the duration of the tasks that end by themselves, in microseconds. */
   void setUsual(long micros) {
-    usual = micros;
+    defaultMicros = micros;
   }
 
-  /** Replicas run until they are stopped, the tasks of "req-far" jobs end far apart. */
+  /**
+   * Returns the duration of a task in microseconds. Replicas of services run until they are
+   * stopped; the tasks of "req-far" jobs end far apart.
+   */
   long of(String task) {
     if (task.startsWith("req-far")) {
       int index = Integer.parseInt(task.substring(task.lastIndexOf('/') + 1));
-      return (FIRST_STAGGERED_S + STAGGER_S * index) * SECOND;
+      return (FIRST_STAGGERED_SECONDS + STAGGER_SECONDS * index) * SECOND;
     }
-    boolean service =
+    boolean isService =
         task.startsWith("req-web") || task.startsWith("req-gone") || task.startsWith("req-cut");
-    return service ? FOREVER : usual;
+    return isService ? FOREVER_MICROS : defaultMicros;
   }
 }
--- a/src/test/java/gladeknot/standin/TeamLimits.java
+++ b/src/test/java/gladeknot/standin/TeamLimits.java
@@ -3,7 +3,7 @@
 import gladeknot.settings.Settings;
 import java.util.List;
 
-/** The teams' limits that checkers go by, which a test may change with the settings. */
+/** The teams' limits that checkers use. A test may change them together with the settings. */
 final class TeamLimits {
   private List<Settings.Team> teams;
 
--- a/src/test/java/gladeknot/standin/TestJobs.java
+++ b/src/test/java/gladeknot/standin/TestJobs.java
@@ -8,7 +8,7 @@
 public final class TestJobs {
   private TestJobs() {}
 
-  /** A job of one-CPU tasks; its shape is array, ensemble or service. */
+  /** Returns a job of one-CPU tasks; its shape is array, ensemble or service. */
   public static Map<String, Object> job(String id, String shape, int tasks) {
     boolean array = shape.equals("array");
     boolean service = shape.equals("service");
@@ -33,7 +33,7 @@
     return job;
   }
 
-  /** A job array of one-CPU tasks that depends on others. */
+  /** Returns a job array of one-CPU tasks that depends on other jobs. */
   public static Map<String, Object> jobAfter(String id, int tasks, String... dependencies) {
     Map<String, Object> job = job(id, "array", tasks);
     job.put("waitsOn", List.of(dependencies));
