--- a/src/test/java/gladeknot/golden/GoldenWorker.java
+++ b/src/test/java/gladeknot/golden/GoldenWorker.java
@@ -37,7 +37,7 @@
     worker.advance(cluster.nowMicros());
     Map<String, Object> report = worker.report();
     long sent = cluster.nowMicros();
-    long tenure = worker.tenure();
+    long tenure = worker.incarnation();
     Outbox.Answer answer = cluster.ask(node, "POST", "/hello", Json.bytes(report));
     if (answer.status() == OK) {
       worker.answered(object(answer.body()), sent, tenure);
--- a/src/test/java/gladeknot/standin/FakeWorker.java
+++ b/src/test/java/gladeknot/standin/FakeWorker.java
@@ -74,7 +74,7 @@
   private final ToLongFunction<String> runMicros;
   private final Map<String, Task> tasks = new LinkedHashMap<>();
   private final List<String> finished = new ArrayList<>();
-  private long tenure = 1;
+  private long incarnation = 1;
   private long heartbeatNumber;
   private long highestToken;
   private long leaseRenewedMicros;
@@ -144,7 +144,7 @@
       long leaseExpiredMicros = leaseRenewedMicros + leaseMicros;
       live().forEach(task -> notifyEnded(task, false, leaseExpiredMicros));
       tasks.clear();
-      tenure++;
+      incarnation++;
       leaseRenewedMicros = now;
     }
     for (Task task : tasks.values()) {
@@ -190,7 +190,7 @@
     report.put("hosttype", machine.type());
     report.put("glade", machine.zone());
     report.put("loaners", machine.spot());
-    report.put("tenure", tenure);
+    report.put("tenure", incarnation);
     report.put("tick", heartbeatNumber);
     report.put("fence", highestToken);
     report.put(
@@ -199,13 +199,10 @@
     return report;
   }
 
-  /**
-   * Handles the 200 response to the heartbeat that was sent at {@code sentMicros} by the
-   * incarnation {@code sentTenure}.
-   */
-  public void answered(Map<String, Object> answer, long sentMicros, long sentTenure) {
+  /** Handles the 200 response to the heartbeat that was sent at {@code sentMicros} by the incarnation {@code sentIncarnation}. */
+  public void answered(Map<String, Object> answer, long sentMicros, long sentIncarnation) {
     long receivedToken = Json.num(answer, "fence", -1);
-    if (receivedToken < highestToken || sentTenure != tenure) {
+    if (receivedToken < highestToken || sentIncarnation != incarnation) {
       return;
     }
     highestToken = receivedToken;
@@ -237,14 +234,14 @@
   }
 
   /** Returns the number of the worker's incarnation; it grows when the worker's lease expires. */
-  public long tenure() {
-    return tenure;
+  public long incarnation() {
+    return incarnation;
   }
 
   /** Executes commands that are sent directly. */
   public ServiceResponse orders(Map<String, Object> body) {
     long receivedToken = Json.num(body, "fence", -1);
-    if (receivedToken < highestToken || Json.num(body, "tenure", -1) != tenure) {
+    if (receivedToken < highestToken || Json.num(body, "tenure", -1) != incarnation) {
       return new ServiceResponse(409, report());
     }
     highestToken = receivedToken;
--- a/src/test/java/gladeknot/standin/HeartbeatSender.java
+++ b/src/test/java/gladeknot/standin/HeartbeatSender.java
@@ -30,7 +30,7 @@
 
     Pending(SimulatedMachine machine, long now) {
       this.worker = machine.worker();
-      this.tenure = worker.tenure();
+      this.tenure = worker.incarnation();
       this.sentMicros = now;
       this.sentTo = machine.controller();
     }
--- a/src/test/java/gladeknot/standin/LoopbackWorker.java
+++ b/src/test/java/gladeknot/standin/LoopbackWorker.java
@@ -195,7 +195,7 @@
       to = node;
       sent = LoopbackServices.now();
       worker.advance(sent);
-      tenure = worker.tenure();
+      tenure = worker.incarnation();
       heartbeat = worker.report();
     }
     heartbeat.put("endpoint", services.workerAddress(to, address));
