--- a/src/test/java/gladeknot/standin/ExecutionChecker.java
+++ b/src/test/java/gladeknot/standin/ExecutionChecker.java
@@ -54,7 +54,7 @@
         continue;
       }
       machine.newStarts().forEach(this::checkStart);
-      if (machine.isFrozen() && machine.worker().lapsed(clock.now())) {
+      if (machine.isFrozen() && machine.worker().isLeaseExpired(clock.now())) {
         // The worker's lease has expired, so it drops its tasks before anything else when it
         // resumes.
         continue;
--- a/src/test/java/gladeknot/standin/FakeWorker.java
+++ b/src/test/java/gladeknot/standin/FakeWorker.java
@@ -219,7 +219,7 @@
    * Returns whether the worker's lease has expired, even if the worker is frozen and has not
    * noticed.
    */
-  public boolean lapsed(long now) {
+  public boolean isLeaseExpired(long now) {
     return now - leaseRenewedMicros > leaseMicros;
   }
 
--- a/src/test/java/gladeknot/standin/LoopbackWorker.java
+++ b/src/test/java/gladeknot/standin/LoopbackWorker.java
@@ -87,7 +87,7 @@
       return;
     }
     if (now < frozenUntilMicros) {
-      if (worker.lapsed(now)) {
+      if (worker.isLeaseExpired(now)) {
         worker.advance(now);
       }
       return;
