--- a/src/test/java/gladeknot/golden/GoldenWorker.java
+++ b/src/test/java/gladeknot/golden/GoldenWorker.java
@@ -54,7 +54,7 @@
     worker.advance(cluster.nowMicros());
     return call.path().equals("/status")
         ? new ServiceResponse(OK, worker.report())
-        : worker.orders(object(call.body()));
+        : worker.executeCommands(object(call.body()));
   }
 
   private static Map<String, Object> object(byte[] body) {
--- a/src/test/java/gladeknot/standin/FakeWorker.java
+++ b/src/test/java/gladeknot/standin/FakeWorker.java
@@ -239,7 +239,7 @@
   }
 
   /** Executes commands that are sent directly. */
-  public ServiceResponse orders(Map<String, Object> body) {
+  public ServiceResponse executeCommands(Map<String, Object> body) {
     long receivedToken = Json.num(body, "fence", -1);
     if (receivedToken < highestToken || Json.num(body, "tenure", -1) != incarnation) {
       return new ServiceResponse(409, report());
--- a/src/test/java/gladeknot/standin/LoopbackWorker.java
+++ b/src/test/java/gladeknot/standin/LoopbackWorker.java
@@ -93,7 +93,7 @@
       return;
     }
     worker.advance(now);
-    heldCommands.forEach(worker::orders);
+    heldCommands.forEach(worker::executeCommands);
     heldCommands.clear();
   }
 
@@ -156,7 +156,7 @@
     worker.advance(LoopbackServices.now());
     return uri.equals("/status")
         ? new ServiceResponse(200, worker.report())
-        : worker.orders(Json.object(body));
+        : worker.executeCommands(Json.object(body));
   }
 
   private synchronized void executeLate(byte[] body) {
@@ -165,7 +165,7 @@
     }
     worker.advance(LoopbackServices.now());
     try {
-      worker.orders(Json.object(body));
+      worker.executeCommands(Json.object(body));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/src/test/java/gladeknot/standin/SimulatedMachine.java
+++ b/src/test/java/gladeknot/standin/SimulatedMachine.java
@@ -71,7 +71,7 @@
   void unfreeze(long now) {
     frozen = false;
     worker.advance(now);
-    heldCommands.forEach(worker::orders);
+    heldCommands.forEach(worker::executeCommands);
     heldCommands.clear();
   }
 
@@ -121,7 +121,7 @@
     return Optional.of(
         call.path().equals("/status")
             ? new ServiceResponse(200, worker.report())
-            : worker.orders(Json.object(call.body())));
+            : worker.executeCommands(Json.object(call.body())));
   }
 
   /** Returns the names of the tasks started since the last call. */
