--- a/src/test/java/gladeknot/golden/GoldenWorker.java
+++ b/src/test/java/gladeknot/golden/GoldenWorker.java
@@ -40,7 +40,7 @@
     long tenure = worker.incarnation();
     Outbox.Answer answer = cluster.ask(node, "POST", "/hello", Json.bytes(report));
     if (answer.status() == OK) {
-      worker.answered(object(answer.body()), sent, tenure);
+      worker.handleResponse(object(answer.body()), sent, tenure);
     }
     return CanonicalJson.of(report) + "\n" + GoldenCluster.text(answer);
   }
--- a/src/test/java/gladeknot/standin/FakeWorker.java
+++ b/src/test/java/gladeknot/standin/FakeWorker.java
@@ -199,8 +199,11 @@
     return report;
   }
 
-  /** Handles the 200 response to the heartbeat that was sent at {@code sentMicros} by the incarnation {@code sentIncarnation}. */
-  public void answered(Map<String, Object> answer, long sentMicros, long sentIncarnation) {
+  /**
+   * Handles the 200 response to the heartbeat that was sent at {@code sentMicros} by the
+   * incarnation {@code sentIncarnation}.
+   */
+  public void handleResponse(Map<String, Object> answer, long sentMicros, long sentIncarnation) {
     long receivedToken = Json.num(answer, "fence", -1);
     if (receivedToken < highestToken || sentIncarnation != incarnation) {
       return;
--- a/src/test/java/gladeknot/standin/HeartbeatSender.java
+++ b/src/test/java/gladeknot/standin/HeartbeatSender.java
@@ -145,7 +145,7 @@
     String owner = Json.text(body, "foreman");
     if (status == 200) {
       if (!machine.isDead()) {
-        machine.worker().answered(body, pending.sentMicros, pending.tenure);
+        machine.worker().handleResponse(body, pending.sentMicros, pending.tenure);
       }
     } else if (status == 421 && owner != null) {
       int to = Integer.parseInt(owner.substring("node-".length()));
--- a/src/test/java/gladeknot/standin/LoopbackWorker.java
+++ b/src/test/java/gladeknot/standin/LoopbackWorker.java
@@ -242,7 +242,7 @@
       Map<String, Object> body = status == 0 ? Map.of() : Json.object(reply.get().body());
       String foreman = status == 421 ? Json.text(body, "foreman") : null;
       if (status == 200) {
-        worker.answered(body, sent, tenure);
+        worker.handleResponse(body, sent, tenure);
       } else if (foreman != null && !foreman.equals("node-" + to)) {
         node = Integer.parseInt(foreman.substring("node-".length()));
         nextHeartbeatMicros = LoopbackServices.now();
--- a/src/test/java/gladeknot/standin/MachineFaults.java
+++ b/src/test/java/gladeknot/standin/MachineFaults.java
@@ -139,6 +139,6 @@
   private void deliverResponse(int nth, List<Map<String, Object>> commands) {
     FakeWorker worker = machines.aliveAt(nth).worker();
     Map<String, Object> response = Json.of("fence", HIGHEST_TOKEN, "orders", commands);
-    worker.answered(response, clock.now(), worker.incarnation());
+    worker.handleResponse(response, clock.now(), worker.incarnation());
   }
 }
