--- a/src/test/java/gladeknot/standin/FakeWorker.java
+++ b/src/test/java/gladeknot/standin/FakeWorker.java
@@ -214,7 +214,7 @@
   }
 
   /** Announces that the cloud takes the machine back at the given time. */
-  public void recall(long atMicros) {
+  public void announceReclaim(long atMicros) {
     reclaimAtMicros = atMicros;
   }
 
--- a/src/test/java/gladeknot/standin/MachineFaults.java
+++ b/src/test/java/gladeknot/standin/MachineFaults.java
@@ -109,7 +109,7 @@
    * period.
    */
   public void reclaim(String host, long noticeMicros) {
-    machines.byHost(host).orElseThrow().worker().recall(clock.now() + noticeMicros);
+    machines.byHost(host).orElseThrow().worker().announceReclaim(clock.now() + noticeMicros);
     clock.schedule(noticeMicros, () -> cloud.take(host));
   }
 
