--- a/src/test/java/gladeknot/standin/FakeCloud.java
+++ b/src/test/java/gladeknot/standin/FakeCloud.java
@@ -61,7 +61,7 @@
   }
 
   /** Takes a machine back without a request to release it. */
-  public void take(String host) {
+  public void reclaim(String host) {
     machines.remove(host);
     changes++;
   }
--- a/src/test/java/gladeknot/standin/MachineFaults.java
+++ b/src/test/java/gladeknot/standin/MachineFaults.java
@@ -110,7 +110,7 @@
    */
   public void reclaim(String host, long noticeMicros) {
     machines.byHost(host).orElseThrow().worker().announceReclaim(clock.now() + noticeMicros);
-    clock.schedule(noticeMicros, () -> cloud.take(host));
+    clock.schedule(noticeMicros, () -> cloud.reclaim(host));
   }
 
   /** Captures the heartbeat that each machine would send now. */
