--- a/src/test/java/gladeknot/standin/ExecutionIntervals.java
+++ b/src/test/java/gladeknot/standin/ExecutionIntervals.java
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Returns a description of each team's first excess over its limit. */
+  /** Returns descriptions of the first time at which each team's tasks used more than its limit. */
   List<String> exceededLimits(List<Settings.Team> teams, Function<String, TeamUse> useOfTask) {
     Map<String, ResourceUse> usage = new HashMap<>();
     Map<String, String> found = new HashMap<>();
--- a/src/test/java/gladeknot/standin/FaultInjection.java
+++ b/src/test/java/gladeknot/standin/FaultInjection.java
@@ -76,7 +76,7 @@
 
   /**
    * Makes the state service answer one controller, and no other, with 503, or ends this. Meanwhile
-   * the controller's watches hang, and its leases last until they expire.
+   * the controller's watches hang. Its leases are not revoked; they last until they expire.
    */
   public void rejectStateCalls(int node, boolean on) {
     set(withRejectedStateCalls, node, on);
@@ -118,8 +118,8 @@
   }
 
   /**
-   * Holds the next transaction that changes the given key: it gets no answer and is carried out
-   * after the delay.
+   * Holds the next transaction whose text contains the given key: it gets no answer and is carried
+   * out after the delay.
    */
   public void holdNextCommit(String key, long delayMicros) {
     heldCommit = Optional.of(new HeldCommit(key, delayMicros));
@@ -137,7 +137,10 @@
     commitResponsesToLose++;
   }
 
-  /** Sets the additional delay of the transactions of {@link #loseCommitResponses}. */
+  /**
+   * Sets the additional delay after which the transactions of {@link #loseCommitResponses} are
+   * carried out.
+   */
   public void delayLostCommits(long micros) {
     lostCommitDelayMicros = micros;
   }
@@ -231,7 +234,10 @@
     return true;
   }
 
-  /** Returns the delay of a transaction that is to be held; only one transaction is held. */
+  /**
+   * Returns the delay of a transaction that is to be held; only the first matching transaction is
+   * held.
+   */
   Optional<Long> takeHeldCommit(byte[] transaction) {
     Optional<Long> delay =
         heldCommit
--- a/src/test/java/gladeknot/standin/RecoveryChecker.java
+++ b/src/test/java/gladeknot/standin/RecoveryChecker.java
@@ -25,11 +25,11 @@
   private final ClusterScale scale;
   private final TeamLimits limits;
   private final Violations violations;
-  private OptionalLong faultsEnded = OptionalLong.empty();
+  private OptionalLong faultsEndedMicros = OptionalLong.empty();
 
   /**
-   * Number of a job's tasks that have room and number that run, both by zone, and the usage of the
-   * job's team.
+   * Free places for a job's tasks by zone, the job's running tasks in total and by zone, and the
+   * resources that its team uses.
    */
   private static final class Placement {
     private final Map<String, Long> freePlaces = new TreeMap<>();
@@ -57,17 +57,17 @@
 
   /** Records that all faults have ended. From now on no job may be forgotten or left waiting. */
   void faultsEnded() {
-    faultsEnded = OptionalLong.of(clock.now());
+    faultsEndedMicros = OptionalLong.of(clock.now());
   }
 
   /** Checks all accepted jobs if the faults have ended. */
   void check() {
-    if (faultsEnded.isEmpty()) {
+    if (faultsEndedMicros.isEmpty()) {
       return;
     }
     for (ObservedJob job : jobs.all()) {
       if (job.isAccepted()) {
-        check(job, faultsEnded.getAsLong());
+        check(job, faultsEndedMicros.getAsLong());
       }
     }
   }
