--- a/src/test/java/gladeknot/golden/GoldenWorker.java
+++ b/src/test/java/gladeknot/golden/GoldenWorker.java
@@ -37,10 +37,10 @@
     worker.advance(cluster.nowMicros());
     Map<String, Object> report = worker.report();
     long sent = cluster.nowMicros();
-    long tenure = worker.tenure();
+    long tenure = worker.incarnation();
     Outbox.Answer answer = cluster.ask(node, "POST", "/hello", Json.bytes(report));
     if (answer.status() == OK) {
-      worker.answered(object(answer.body()), sent, tenure);
+      worker.handleResponse(object(answer.body()), sent, tenure);
     }
     return CanonicalJson.of(report) + "\n" + GoldenCluster.text(answer);
   }
@@ -54,7 +54,7 @@
     worker.advance(cluster.nowMicros());
     return call.path().equals("/status")
         ? new ServiceResponse(OK, worker.report())
-        : worker.orders(object(call.body()));
+        : worker.executeCommands(object(call.body()));
   }
 
   private static Map<String, Object> object(byte[] body) {
--- a/src/test/java/gladeknot/standin/HeartbeatSender.java
+++ b/src/test/java/gladeknot/standin/HeartbeatSender.java
@@ -30,7 +30,7 @@
 
     Pending(SimulatedMachine machine, long now) {
       this.worker = machine.worker();
-      this.tenure = worker.tenure();
+      this.tenure = worker.incarnation();
       this.sentMicros = now;
       this.sentTo = machine.controller();
     }
@@ -111,7 +111,7 @@
         machine.controller(),
         heartbeat,
         response ->
-            clock.schedule(faults.commandDelay(), () -> receive(machine, pending, response)));
+            clock.schedule(faults.commandDelayMicros(), () -> receive(machine, pending, response)));
   }
 
   /** What comes after the worker has given the request up is dropped. */
@@ -145,7 +145,7 @@
     String owner = Json.text(body, "foreman");
     if (status == 200) {
       if (!machine.isDead()) {
-        machine.worker().answered(body, pending.sentMicros, pending.tenure);
+        machine.worker().handleResponse(body, pending.sentMicros, pending.tenure);
       }
     } else if (status == 421 && owner != null) {
       int to = Integer.parseInt(owner.substring("node-".length()));
--- a/src/test/java/gladeknot/standin/LoopbackWorker.java
+++ b/src/test/java/gladeknot/standin/LoopbackWorker.java
@@ -87,13 +87,13 @@
       return;
     }
     if (now < frozenUntilMicros) {
-      if (worker.lapsed(now)) {
+      if (worker.isLeaseExpired(now)) {
         worker.advance(now);
       }
       return;
     }
     worker.advance(now);
-    heldCommands.forEach(worker::orders);
+    heldCommands.forEach(worker::executeCommands);
     heldCommands.clear();
   }
 
@@ -134,7 +134,7 @@
   /** Powers the machine off with all its tasks. */
   synchronized void shutDown() {
     stopped = true;
-    worker.abandon(LoopbackServices.now());
+    worker.endAllAttempts(LoopbackServices.now());
   }
 
   private synchronized ServiceResponse serve(String method, String uri, byte[] body)
@@ -156,7 +156,7 @@
     worker.advance(LoopbackServices.now());
     return uri.equals("/status")
         ? new ServiceResponse(200, worker.report())
-        : worker.orders(Json.object(body));
+        : worker.executeCommands(Json.object(body));
   }
 
   private synchronized void executeLate(byte[] body) {
@@ -165,7 +165,7 @@
     }
     worker.advance(LoopbackServices.now());
     try {
-      worker.orders(Json.object(body));
+      worker.executeCommands(Json.object(body));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -195,7 +195,7 @@
       to = node;
       sent = LoopbackServices.now();
       worker.advance(sent);
-      tenure = worker.tenure();
+      tenure = worker.incarnation();
       heartbeat = worker.report();
     }
     heartbeat.put("endpoint", services.workerAddress(to, address));
@@ -242,7 +242,7 @@
       Map<String, Object> body = status == 0 ? Map.of() : Json.object(reply.get().body());
       String foreman = status == 421 ? Json.text(body, "foreman") : null;
       if (status == 200) {
-        worker.answered(body, sent, tenure);
+        worker.handleResponse(body, sent, tenure);
       } else if (foreman != null && !foreman.equals("node-" + to)) {
         node = Integer.parseInt(foreman.substring("node-".length()));
         nextHeartbeatMicros = LoopbackServices.now();
