--- a/src/test/java/gladeknot/standin/LoopbackServices.java
+++ b/src/test/java/gladeknot/standin/LoopbackServices.java
@@ -37,7 +37,7 @@
 
   private static final long BOOT_MICROS = 1_000_000;
 
-  /** Lowest port for listeners. The range ends below the ports of outgoing connections. */
+  /** Lowest port of controllers. The range ends below the ports of outgoing connections. */
   private static final int FIRST_PORT = 12_000;
 
   private static final int LAST_PORT = 32_000;
