--- a/src/test/java/gladeknot/app/CancellationTest.java
+++ b/src/test/java/gladeknot/app/CancellationTest.java
@@ -9,11 +9,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Cancellations at every point of a job's life. */
+/** Cancellations around a job's first start and around its end. */
 class CancellationTest {
-  /** Whenever a job is cancelled around its first start, nothing of it is left or written anew. */
+  /**
+   * Jobs that are cancelled at various times around their first start leave no records and cause no
+   * further writes.
+   */
   @Test
-  void nothingIsLeftOfJobsCancelledAroundTheirFirstStart() {
+  void jobsCancelledAroundFirstStartLeaveNoRecords() {
     // given
     SimulatedCluster cluster = FaultScenarios.clusterWithService(37);
     cluster.faults().delayStateCalls(150_000);
@@ -44,34 +47,37 @@
     assertEquals(List.of(), cluster.violations());
   }
 
-  /** A cancellation, a poll or a repeated submission races with the end of a job's last task. */
+  /**
+   * A cancellation, a poll or a repeated submission that races with the end of a job's last task
+   * has the same outcome on all controllers.
+   */
   @Test
-  void whatMeetsTheEndOfAJobHasOneOutcomeEverywhere() {
-    for (int shift = 0; shift < 16; shift++) {
+  void requestsRacingWithJobEndHaveOneOutcome() {
+    for (int offset = 0; offset < 16; offset++) {
       // given
-      SimulatedCluster cluster = new SimulatedCluster(3, 40 + shift);
+      SimulatedCluster cluster = new SimulatedCluster(3, 40 + offset);
       cluster.startPolling();
       cluster.run(3 * SECOND);
       cluster.submit(0, TestJobs.job("req-end", "array", 2));
       while (cluster.doneTasks("req-end") < 1) {
         cluster.run(10_000);
       }
-      cluster.faults().loseCommitResponses(shift % 4 == 3 ? 1 : 0);
-      cluster.faults().delayLostCommits(shift % 8 == 7 ? 4 * SECOND : 0);
-      cluster.run(shift * 60_000L);
+      cluster.faults().loseCommitResponses(offset % 4 == 3 ? 1 : 0);
+      cluster.faults().delayLostCommits(offset % 8 == 7 ? 4 * SECOND : 0);
+      cluster.run(offset * 60_000L);
       // when
-      cluster.cancel(shift % 3, "req-end");
+      cluster.cancel(offset % 3, "req-end");
       cluster.request(
-          (shift + 1) % 3,
+          (offset + 1) % 3,
           "POST",
           "/work",
           TestJobs.job("req-end", "array", 2),
           answer -> {
             assertTrue(
                 answer.status() == 200 || answer.status() == 503,
-                "a repeat gets " + answer.status());
+                "status of the repeated submission: " + answer.status());
           });
-      cluster.poll((shift + 2) % 3, "req-end");
+      cluster.poll((offset + 2) % 3, "req-end");
       cluster.run(20 * SECOND);
       for (int i = 0; i < 3; i++) {
         cluster.poll(i, "req-end");
--- a/src/test/java/gladeknot/app/CheckerTest.java
+++ b/src/test/java/gladeknot/app/CheckerTest.java
@@ -12,9 +12,12 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** The checkers of a simulation catch each broken rule; without this a passed test says little. */
+/**
+ * The checkers of a simulation detect each violated invariant. Without this test a passing
+ * simulation would prove little.
+ */
 class CheckerTest {
-  private record Case(String caught, Consumer<SimulatedCluster> breach) {}
+  private record Case(String expectedViolation, Consumer<SimulatedCluster> breach) {}
 
   private static final List<Case> CASES =
       List.of(
@@ -36,7 +39,7 @@
               cluster -> {
                 cluster.cancel(0, "req-web");
                 cluster.run(SECOND);
-                downAll(cluster);
+                killAllControllers(cluster);
                 for (int i = 0; i < 30; i++) {
                   cluster.machineFaults().renewLease(0);
                   cluster.machineFaults().runUnscheduledTask(0, "req-web/0");
@@ -77,14 +80,14 @@
           new Case(
               "forgotten",
               cluster -> {
-                downAll(cluster);
+                killAllControllers(cluster);
                 cluster.expectRecovery();
                 cluster.run(80 * SECOND);
               }),
           new Case(
               "left waiting",
               cluster -> {
-                downAll(cluster);
+                killAllControllers(cluster);
                 cluster.expectRecovery();
                 cluster.run(110 * SECOND);
               }),
@@ -95,16 +98,18 @@
               "refused with",
               cluster -> cluster.submitInvalid(0, TestJobs.job("bad", "array", 1), 422)));
 
-  private static void downAll(SimulatedCluster cluster) {
+  private static void killAllControllers(SimulatedCluster cluster) {
     for (int i = 0; i < 3; i++) {
       cluster.kill(i);
     }
   }
 
   @TestFactory
-  Stream<DynamicTest> eachBreachIsCaught() {
+  Stream<DynamicTest> eachBreachIsDetected() {
     return CASES.stream()
-        .map(testCase -> DynamicTest.dynamicTest(testCase.caught(), () -> play(testCase)));
+        .map(
+            testCase ->
+                DynamicTest.dynamicTest(testCase.expectedViolation(), () -> play(testCase)));
   }
 
   private static void play(Case testCase) {
@@ -118,7 +123,7 @@
     cluster.run(SECOND);
     assertTrue(
         cluster.violations().stream()
-            .anyMatch(violation -> violation.startsWith(testCase.caught())),
-        () -> "only " + cluster.violations());
+            .anyMatch(violation -> violation.startsWith(testCase.expectedViolation())),
+        () -> "found instead: " + cluster.violations());
   }
 }
--- a/src/test/java/gladeknot/app/CommandsTest.java
+++ b/src/test/java/gladeknot/app/CommandsTest.java
@@ -17,20 +17,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The commands as an operator uses them: exit codes and one line for each fault. */
+/** Commands as an operator runs them: exit codes and one line per fault. */
 class CommandsTest {
   @TempDir Path dir;
 
   private record Output(int code, List<String> lines) {}
 
-  /** Runs a command with standard error and output caught. */
+  /** Runs a command and captures its standard output and error. */
   private static Output run(String... args) {
     PrintStream out = System.out;
     PrintStream err = System.err;
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    PrintStream caught = new PrintStream(bytes, true, StandardCharsets.UTF_8);
-    System.setOut(caught);
-    System.setErr(caught);
+    PrintStream captured = new PrintStream(bytes, true, StandardCharsets.UTF_8);
+    System.setOut(captured);
+    System.setErr(captured);
     try {
       int code = Main.run(args);
       return new Output(code, bytes.toString(StandardCharsets.UTF_8).lines().toList());
@@ -41,23 +41,23 @@
   }
 
   @Test
-  void faultsOfFeatureFilesEndTheStartAndAreListed() throws IOException {
+  void invalidFeatureFilesAreListedAndPreventStart() throws IOException {
     Path settings = Files.writeString(dir.resolve("node.toml"), "node_name = \"a\"\n");
-    Path wrong =
+    Path invalid =
         Files.writeString(
             dir.resolve("wrong.toml"),
             "feature = \"partial-cuts\"\nx = 1\n[links]\nheartbeat_s = -1\n");
-    String feature = wrong.toString();
+    String feature = invalid.toString();
     String missing = dir.resolve("missing.toml").toString();
     Output check =
         run("check-config", settings.toString(), "--feature", feature, "--feature", missing);
     assertEquals(2, check.code());
-    List<String> wanted =
+    List<String> expectedLines =
         List.of(
-            wrong + ": links.heartbeat_s: must be",
-            wrong + ": x: unknown field",
+            invalid + ": links.heartbeat_s: must be",
+            invalid + ": x: unknown field",
             missing + ": can't be read");
-    for (String line : wanted) {
+    for (String line : expectedLines) {
       assertEquals(
           1,
           check.lines().stream().filter(text -> text.startsWith(line)).count(),
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void theShippedFilesHaveNoFaults() {
+  void shippedFeatureFilesAreValid() {
     for (String file : List.of("deploy/partial-cuts.toml")) {
       Output check = run("check-config", dir.resolve("none").toString(), "--feature", file);
       assertEquals(1, check.lines().size(), check.toString());
@@ -91,25 +91,25 @@
     return "127.0.0.1:" + server.getAddress().getPort();
   }
 
-  private static void refused(String address, String why) {
+  private static void assertStatusFails(String address, String expectedCause) {
     Output output = run("status", address);
     assertEquals(1, output.code());
     assertEquals(1, output.lines().size(), output.toString());
     String line = output.lines().get(0);
-    assertTrue(line.startsWith(address + ": ") && line.contains(why), line);
+    assertTrue(line.startsWith(address + ": ") && line.contains(expectedCause), line);
   }
 
   @Test
-  void statusSaysWhatIsWrongInOneLine() throws IOException {
-    int free;
+  void statusPrintsErrorInOneLine() throws IOException {
+    int freePort;
     try (ServerSocket socket = new ServerSocket(0)) {
-      free = socket.getLocalPort();
+      freePort = socket.getLocalPort();
     }
-    refused("127.0.0.1:" + free, "nothing listens there");
-    refused(serve(404, "{}"), "answers 404");
-    refused(serve(200, "hello"), "does not answer with JSON");
-    refused(serve(200, "{\"ok\":true}"), "an older version");
-    refused("not an address", "not an operators' listener");
+    assertStatusFails("127.0.0.1:" + freePort, "nothing listens there");
+    assertStatusFails(serve(404, "{}"), "answers 404");
+    assertStatusFails(serve(200, "hello"), "does not answer with JSON");
+    assertStatusFails(serve(200, "{\"ok\":true}"), "an older version");
+    assertStatusFails("not an address", "not an operators' listener");
   }
 
   @Test
--- a/src/test/java/gladeknot/app/DamagedSlicesTest.java
+++ b/src/test/java/gladeknot/app/DamagedSlicesTest.java
@@ -16,18 +16,19 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Records that no controller of this version writes: a task in two slices, a slice in two segments.
- * The checker of stored records sees them at the write, each controller reports them, and none
- * starts the task again. Once the job is cancelled all of its records go.
+ * Guards against a second start of a task whose stored records are inconsistent: a task in two
+ * slices, or a slice in two segments. No controller of this version writes such records, so the
+ * test overwrites them. The record checker must detect the damage at the write, each controller
+ * must report it, and none may start the task again. Cancelling the job deletes all its records.
  */
 class DamagedSlicesTest {
   private static final int CONTROLLERS = 3;
   private static final String JOB = "req-web";
 
-  /** One task that waits to be started, as a record without attempts has it. */
+  /** Stored record of a slice with one pending task and no attempts. */
   private static final String PENDING_TASK = "dev|1000|0|1000|0|0||";
 
-  private record Case(String name, String segment, String storedRule) {}
+  private record Case(String name, String segment, String recordViolation) {}
 
   private static final List<Case> CASES =
       List.of(
@@ -38,7 +39,7 @@
           new Case("a slice in two segments", "g/sl/0/w4-3", "a slice of req-web is in g/sl/0/w"));
 
   @TestFactory
-  Stream<DynamicTest> allReportItAndNoneStartsTheTaskAgain() {
+  Stream<DynamicTest> allControllersReportItAndNoneRestartsTheTask() {
     return CASES.stream()
         .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
   }
@@ -49,7 +50,7 @@
     cluster.run(3 * SECOND);
     cluster.submit(0, TestJobs.job(JOB, "service", 1));
     for (int node = 0; node < CONTROLLERS; node++) {
-      // Each shard has a machine with room.
+      // Gives each shard a machine with free capacity.
       cluster.submit(node, TestJobs.job("req-web-room" + node, "service", 1));
     }
     cluster.run(15 * SECOND);
@@ -59,13 +60,13 @@
     // when
     addRecord(cluster, testCase.segment());
     assertTrue(
-        cluster.violations().stream().anyMatch(found -> found.contains(testCase.storedRule())),
+        cluster.violations().stream().anyMatch(found -> found.contains(testCase.recordViolation())),
         () -> cluster.violations().toString());
     cluster.run(15 * SECOND);
     // then
     for (int node = 0; node < CONTROLLERS; node++) {
-      String reported = "ran_twice: slices found violated by controller " + node;
-      assertTrue(cluster.violations().contains(reported), reported);
+      String violation = "ran_twice: slices found violated by controller " + node;
+      assertTrue(cluster.violations().contains(violation), violation);
     }
     assertEquals(starts, cluster.starts());
     assertEquals(1, cluster.hosts(JOB).size());
@@ -81,9 +82,9 @@
 
   private static void addRecord(SimulatedCluster cluster, String segment) {
     Map<String, Object> records = new HashMap<>(Json.of());
-    Map<String, Object> present = cluster.state().get(segment);
-    if (present != null) {
-      records.putAll(present);
+    Map<String, Object> stored = cluster.state().get(segment);
+    if (stored != null) {
+      records.putAll(stored);
     }
     records.put(JOB, PENDING_TASK);
     cluster.state().overwrite(segment, records);
--- a/src/test/java/gladeknot/app/FaultScenarios.java
+++ b/src/test/java/gladeknot/app/FaultScenarios.java
@@ -11,17 +11,16 @@
 import org.junit.jupiter.api.DynamicTest;
 
 /**
- * Plays cases of combined faults. Each begins with a cluster at work and users that go on polling;
- * once the faults are over, nothing may be forgotten or left waiting, and what was accepted comes
- * to its end.
+ * Runs cases of combined faults. Each case starts with a busy cluster and users that keep polling.
+ * After the faults no job may be forgotten or left pending, and every accepted job must settle.
  */
 final class FaultScenarios {
   private static final int MIN_ROUNDS = 10;
 
-  /** The largest cases begin within four minutes; most come to their end long before. */
+  /** Enough for the largest cases, which start within four minutes; most settle much earlier. */
   private static final int MAX_ROUNDS = 26;
 
-  /** The faults of a case, for a cluster of so many controllers. */
+  /** A cluster of the given number of controllers and the faults that are injected into it. */
   record Case(String name, int controllers, long seed, Consumer<SimulatedCluster> faults) {
     Case(String name, long seed, Consumer<SimulatedCluster> faults) {
       this(name, 3, seed, faults);
@@ -30,13 +29,13 @@
 
   private FaultScenarios() {}
 
-  /** One test for each case. */
+  /** Returns one dynamic test per case. */
   static Stream<DynamicTest> tests(List<Case> cases) {
     return cases.stream()
-        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
+        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> runCase(testCase)));
   }
 
-  /** A cluster that runs the service "req-web" with four replicas, without faults. */
+  /** Returns a cluster without faults that runs the service "req-web" with four replicas. */
   static SimulatedCluster clusterWithService(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(3, seed);
     cluster.run(3 * SECOND);
@@ -45,14 +44,14 @@
     return cluster;
   }
 
-  /** How many tasks of a job are on machines now. */
+  /** Returns the number of tasks of a job that are on machines now. */
   static int runningTasks(SimulatedCluster cluster, String job) {
     return cluster.zones(job).values().stream().mapToInt(tasks -> tasks).sum();
   }
 
-  private static void play(Case testCase) {
+  private static void runCase(Case testCase) {
     // given
-    SimulatedCluster cluster = clusterAtWork(testCase);
+    SimulatedCluster cluster = busyCluster(testCase);
     // when
     testCase.faults().accept(cluster);
     cluster.expectRecovery();
@@ -65,7 +64,7 @@
     cluster.jobs().forEach(job -> assertSettled(job, cluster.phase(job)));
   }
 
-  private static SimulatedCluster clusterAtWork(Case testCase) {
+  private static SimulatedCluster busyCluster(Case testCase) {
     SimulatedCluster cluster = new SimulatedCluster(testCase.controllers(), testCase.seed());
     cluster.startPolling();
     cluster.run(3 * SECOND);
@@ -93,7 +92,10 @@
     return job.startsWith("req-web") || job.startsWith("req-cut");
   }
 
-  /** Services run, all else is done; some cases cancel two of the jobs. */
+  /**
+   * Asserts that a service is running and any other job is done. Some cases cancel req-cut or
+   * req-full, which may therefore be withdrawn.
+   */
   private static void assertSettled(String job, String phase) {
     boolean mayBeCancelled = job.equals("req-cut") || job.equals("req-full");
     if (!mayBeCancelled || !phase.equals("withdrawn")) {
--- a/src/test/java/gladeknot/app/HandOverFaultsTest.java
+++ b/src/test/java/gladeknot/app/HandOverFaultsTest.java
@@ -16,21 +16,29 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * A controller hands a shard back while its own transaction for it is committed and not answered.
+ * Guards against a task running on two machines after a controller relinquishes a shard while its
+ * own transaction for that shard is committed but not yet answered.
  *
- * <p>What was seen: in the soak on real processes twenty tasks of one array ran on two machines at
- * once, while the state service was slow and controllers were restarted.
+ * <p>Failure: in the soak on real processes, with a slow state service and restarting controllers,
+ * twenty tasks of one array ran on two machines at once.
  *
- * <p>Order of events: controller A commits starts in shard 0, which it has in another's place. The
- * answer is late, and so is the watch of A. A hands the shard back, the answer to that comes first,
- * and A loads the slices of shard 0 again as what their records say, from a copy without the
- * starts. Then the late answer comes: A takes the segment as loaded with what it has written, so
- * that the slices are never loaded with it. By A's slices the started tasks are pending, by its
- * copy the segment's revision is the newest: it claims them for another shard of its own, and its
- * transaction overwrites the record that holds the starts.
+ * <p>Order of events:
  *
- * <p>Cause: an outcome was applied to slices that had been loaded again since the transaction was
- * sent. Evidence: A logs starts of a shard after its release, and then the claim of the same tasks.
+ * <ol>
+ *   <li>Controller A owns shard 0 after a failover and commits starts in it. The answer to A's
+ *       transaction and A's watch are both late.
+ *   <li>A relinquishes shard 0. The answer to that transaction arrives first, and A reloads the
+ *       slices of shard 0 from a cache that lacks the starts.
+ *   <li>The late answer arrives. A marks the segment as loaded with the content that it wrote, so
+ *       the slices are never reloaded with the starts.
+ *   <li>In A's slices the started tasks are pending, while its cache holds the newest revision of
+ *       the segment. A claims these tasks for another of its shards, and its transaction overwrites
+ *       the record that holds the starts.
+ * </ol>
+ *
+ * <p>Cause: the outcome of a transaction was applied to slices that had been reloaded after the
+ * transaction was sent. In the log, A starts tasks of a shard, releases the shard, and then claims
+ * the same tasks.
  */
 class HandOverFaultsTest {
   private static final int CONTROLLERS = 3;
@@ -38,66 +46,68 @@
   private static final long FIRST_SEED = 33;
   private static final long SEEDS = 5;
 
-  /** Of so many steps the watch of the holder is current for the first few. */
-  private static final int LAG_STEPS = 90;
+  /** Length of a cycle, in steps, in which the temporary owner's watch is current, then stalled. */
+  private static final int WATCH_CYCLE_STEPS = 90;
 
-  private static final int CURRENT_STEPS = 15;
+  /** Steps at the start of each cycle in which the watch is current. */
+  private static final int WATCH_CURRENT_STEPS = 15;
 
-  /** By so much the answers to the holder's transactions are late. */
-  private static final long LATE = 2 * SECOND;
+  /** Delay of the answers to the temporary owner's transactions. */
+  private static final long ANSWER_DELAY_MICROS = 2 * SECOND;
 
   @TestFactory
-  Stream<DynamicTest> startsWhoseAnswerComesAfterTheHandOverAreNotClaimed() {
+  Stream<DynamicTest> startsAnsweredAfterRelinquishAreNotClaimed() {
     return LongStream.range(FIRST_SEED, FIRST_SEED + SEEDS)
-        .mapToObj(seed -> DynamicTest.dynamicTest("seed " + seed, () -> play(seed)));
+        .mapToObj(seed -> DynamicTest.dynamicTest("seed " + seed, () -> runSeed(seed)));
   }
 
-  private static void play(long seed) {
+  private static void runSeed(long seed) {
     // given
     SimulatedCluster cluster =
         new SimulatedCluster(CONTROLLERS, seed, new ClusterScale(12, 0, 300, 150));
     cluster.taskDuration(2 * SECOND);
     cluster.run(3 * SECOND);
     for (int node = 0; node < CONTROLLERS; node++) {
-      Map<String, Object> room = TestJobs.job("req-gone" + node, "service", 5);
-      room.put("scatter", false);
-      cluster.submit(node, room);
+      Map<String, Object> placeholder = TestJobs.job("req-gone" + node, "service", 5);
+      placeholder.put("scatter", false);
+      cluster.submit(node, placeholder);
     }
     cluster.run(15 * SECOND);
     cluster.kill(HOME);
     await(cluster, 60 * SECOND, () -> !cluster.owner(HOME).equals("node-0"));
     cluster.run(5 * SECOND);
     // when
-    int holder = Integer.parseInt(cluster.owner(HOME).substring("node-".length()));
+    int temporaryOwner = Integer.parseInt(cluster.owner(HOME).substring("node-".length()));
     cluster.taskDuration(10 * SECOND);
     cluster.start(HOME);
-    cluster.faults().delayCommitAnswers(holder, LATE);
+    cluster.faults().delayCommitAnswers(temporaryOwner, ANSWER_DELAY_MICROS);
     for (int i = 0; !cluster.owner(HOME).equals("node-0"); i++) {
-      assertTrue(i < 3_000, "no hand-over");
+      assertTrue(i < 3_000, "shard 0 did not return to node-0");
       if (i % 60 == 0) {
-        cluster.submit(holder, TestJobs.job("req-work" + i / 60, "array", 3));
+        cluster.submit(temporaryOwner, TestJobs.job("req-work" + i / 60, "array", 3));
       }
-      cluster.faults().stallWatch(holder, i % LAG_STEPS > CURRENT_STEPS);
+      cluster.faults().stallWatch(temporaryOwner, i % WATCH_CYCLE_STEPS > WATCH_CURRENT_STEPS);
       cluster.run(SECOND / 50);
     }
     cluster.pause(HOME, true);
     cluster.run(SECOND / 10);
-    cluster.faults().stallWatch(holder, false);
+    cluster.faults().stallWatch(temporaryOwner, false);
     for (int node = 0; node < CONTROLLERS; node++) {
-      cluster.cancel(holder, "req-gone" + node);
+      cluster.cancel(temporaryOwner, "req-gone" + node);
     }
     cluster.run(8 * SECOND);
     cluster.pause(HOME, false);
-    cluster.faults().delayCommitAnswers(holder, 0);
+    cluster.faults().delayCommitAnswers(temporaryOwner, 0);
     cluster.run(20 * SECOND);
     // then
     assertEquals(List.of(), cluster.violations());
   }
 
-  private static void await(SimulatedCluster cluster, long micros, BooleanSupplier condition) {
-    long until = cluster.now() + micros;
+  private static void await(
+      SimulatedCluster cluster, long timeoutMicros, BooleanSupplier condition) {
+    long deadlineMicros = cluster.now() + timeoutMicros;
     while (!condition.getAsBoolean()) {
-      assertTrue(cluster.now() < until, "not in time");
+      assertTrue(cluster.now() < deadlineMicros, "condition not met in time");
       cluster.run(SECOND / 10);
     }
   }
--- a/src/test/java/gladeknot/app/PipelinesTest.java
+++ b/src/test/java/gladeknot/app/JobDependenciesTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Jobs that wait for others. Each row submits a diamond (first, two in the middle, last) and does
- * something to it; the checker watches the rules, and in the end each job has the phase that is
- * given.
+ * Jobs with dependencies. Each case submits a diamond (the first job, two in the middle, the last)
+ * and injects cancellations or faults. The checker verifies the invariants, and in the end each job
+ * must have the given phase.
  */
-class PipelinesTest {
+class JobDependenciesTest {
   private record Case(String name, Consumer<SimulatedCluster> faults, String phases) {}
 
   private static final List<String> DIAMOND = List.of("req-a", "req-b", "req-c", "req-d");
@@ -44,7 +44,7 @@
               cluster -> cluster.cancel(1, "req-b"),
               "done withdrawn done withdrawn"),
           new Case(
-              "the last is cancelled: those before it go on",
+              "the last is cancelled while its dependencies continue",
               cluster -> cluster.cancel(2, "req-d"),
               "done done done withdrawn"),
           new Case(
@@ -55,7 +55,7 @@
               },
               "done done withdrawn withdrawn"),
           new Case(
-              "the first is cancelled when it is over",
+              "the first is cancelled after it is done",
               cluster -> {
                 cluster.run(40 * SECOND);
                 cluster.cancel(0, "req-a");
@@ -106,7 +106,7 @@
               },
               ALL_DONE),
           new Case(
-              "transactions are carried out late",
+              "transactions are applied late",
               cluster -> {
                 cluster.faults().lateCommitShare(0.3);
                 cluster.run(40 * SECOND);
@@ -115,9 +115,9 @@
               ALL_DONE));
 
   @TestFactory
-  Stream<DynamicTest> rulesHold() {
+  Stream<DynamicTest> invariantsHoldAndJobsReachPhases() {
     return CASES.stream()
-        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
+        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> runCase(testCase)));
   }
 
   private static SimulatedCluster cluster(long seed) {
@@ -127,7 +127,7 @@
     return cluster;
   }
 
-  private static void play(Case testCase) {
+  private static void runCase(Case testCase) {
     SimulatedCluster cluster = cluster(17);
     cluster.submit(0, job("req-a", "array", 4));
     cluster.run(SECOND);
@@ -169,13 +169,13 @@
     "'req-web', 422, service",
     "'job-1', 400, waitsOn",
   })
-  void whatAJobMayWaitFor(String needs, int status, String text) {
+  void dependenciesAreValidated(String dependencies, int status, String text) {
     SimulatedCluster cluster = cluster(18);
     cluster.submit(0, job("req-1", "array", 3));
     cluster.submit(0, job("req-web", "service", 2));
     cluster.run(2 * SECOND);
-    String[] named = needs.isEmpty() ? new String[0] : needs.split(",");
-    String reply = answer(cluster, 1, "POST", "/work", jobAfter("req-new", 2, named));
+    String[] dependencyIds = dependencies.isEmpty() ? new String[0] : dependencies.split(",");
+    String reply = answer(cluster, 1, "POST", "/work", jobAfter("req-new", 2, dependencyIds));
     assertTrue(reply.startsWith(status + " ") && reply.contains(text), reply);
   }
 
@@ -194,7 +194,7 @@
   }
 
   @Test
-  void moreNamesThanCanBeStoredAreRefusedAtOnce() {
+  void dependenciesThatExceedStorageAreRejectedImmediately() {
     SimulatedCluster cluster = cluster(19);
     List<String> names = new ArrayList<>();
     for (int i = 0; i < 700; i++) {
@@ -206,7 +206,7 @@
   }
 
   @Test
-  void withoutTheStateServiceNoNameIsCalledUnknown() {
+  void dependencyIsNotReportedUnknownDuringStateOutage() {
     SimulatedCluster cluster = cluster(20);
     cluster.faults().stateOutage(true);
     cluster.run(SECOND);
@@ -215,7 +215,7 @@
   }
 
   @Test
-  void aJobBehindAWithdrawnOneIsAcceptedAndWithdrawn() {
+  void jobWithWithdrawnDependencyIsAcceptedAndWithdrawn() {
     SimulatedCluster cluster = cluster(21);
     cluster.submit(0, job("req-1", "array", 3));
     cluster.run(SECOND);
@@ -233,10 +233,10 @@
   }
 
   @Test
-  void aLongChainIsWithdrawnWithItsFirst() {
+  void cancellingFirstJobWithdrawsLongChain() {
     SimulatedCluster cluster = cluster(22);
     int length = 300;
-    // Its tasks run on without end.
+    // The tasks of this job run without end.
     cluster.submit(0, job("req-gone-0", "array", 2));
     cluster.run(SECOND);
     for (int i = 1; i < length; i++) {
--- a/src/test/java/gladeknot/app/LoadTest.java
+++ b/src/test/java/gladeknot/app/LoadTest.java
@@ -11,17 +11,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Behaviour under load: no starvation, and the cost per task does not grow with the fleet. */
+/** No starvation under load, and no growth of the cost per task with the number of machines. */
 class LoadTest {
-  /** Below half of the heartbeat interval, for which a start would wait on average otherwise. */
-  private static final long MAX_WAIT = 450_000;
+  /**
+   * Maximum average time from submission to start. Below half of the heartbeat interval, which is
+   * the average wait for the next heartbeat.
+   */
+  private static final long MAX_WAIT_MICROS = 450_000;
 
   @Test
-  void theLargestBeginHoweverMuchSmallWorkComes() {
+  void largeJobsStartUnderConstantSmallJobs() {
     SimulatedCluster cluster = new SimulatedCluster(3, 31);
     cluster.run(3 * SECOND);
     int submitted = 0;
-    // More than the team's limit lets run: 24 tasks at once of 6 s, and 6 tasks come each second.
+    // Above the team's limit of 24 tasks at once: 6 tasks of 6 s are submitted each second.
     for (int second = 0; second < 15; second++) {
       cluster.submit(submitted % 3, TestJobs.job("req-small-" + submitted++, "array", 6));
       cluster.run(SECOND);
@@ -38,46 +41,49 @@
   }
 
   /**
-   * Start commands are sent in heartbeat responses only: the response to an idle machine is held
-   * long enough for a start that is decided meanwhile, so that urgent work need not wait for the
-   * next heartbeat.
+   * Start commands are sent in heartbeat responses only. The response to an idle machine is held
+   * back so that a start decided meanwhile does not wait for the next heartbeat.
    */
   @Test
-  void startsReachMachinesThatHaveNothingToDoBeforeTheirNextReport() {
+  void startsReachIdleMachinesBeforeNextHeartbeat() {
     SimulatedCluster cluster = new SimulatedCluster(3, 33);
     cluster.run(3 * SimulatedCluster.SECOND);
-    // Machines of the ordinary kind, empty when the others come.
+    // Leaves idle on-demand machines for the jobs that follow.
     cluster.submit(0, TestJobs.job("req-gone", "service", 20));
     cluster.run(10 * SimulatedCluster.SECOND);
     cluster.cancel(0, "req-gone");
     cluster.run(4 * SimulatedCluster.SECOND);
-    long waited = 0;
+    long waitedMicros = 0;
     int jobs = 12;
     for (int i = 0; i < jobs; i++) {
       String id = "req-web-" + i;
       cluster.submit(i % 3, TestJobs.job(id, "service", 1));
       while (cluster.zones(id).isEmpty()) {
         cluster.run(SimulatedCluster.SECOND / 50);
-        waited += SimulatedCluster.SECOND / 50;
+        waitedMicros += SimulatedCluster.SECOND / 50;
       }
       cluster.run(SimulatedCluster.SECOND / 3);
     }
-    assertTrue(waited / jobs < MAX_WAIT, waited / jobs + " us from submission to start");
+    assertTrue(
+        waitedMicros / jobs < MAX_WAIT_MICROS,
+        waitedMicros / jobs + " us from submission to start");
     assertEquals(List.of(), cluster.violations());
   }
 
   @Test
-  void writesForEachTaskDoNotGrowWithTheFleet() {
-    double small = writesForEachTask(12);
-    double large = writesForEachTask(120);
-    assertTrue(large <= small, small + " then " + large);
-    // Far from a write for each start and each end.
-    assertTrue(large < 0.7, large + " writes for each task");
+  void writesPerTaskDoNotGrowWithMachineCount() {
+    double small = writesPerTask(12);
+    double large = writesPerTask(120);
+    assertTrue(
+        large <= small, "writes per task: " + small + " on 12 machines, " + large + " on 120");
+    // Far below one write per start and one per end.
+    assertTrue(large < 0.7, large + " writes per task");
   }
 
   /**
-   * No limit stands below the largest fleets: each machine gets a task that fills it, which takes
-   * more space than the first layout of the records has, and keeps it while all controllers end.
+   * No internal limit is below the largest clusters. Each machine gets a task that fills it, so the
+   * records need more space than their first layout has. The tasks survive a restart of all
+   * controllers.
    */
   @Test
   void fourThousandMachinesAreRentedAndUsed() {
@@ -102,11 +108,12 @@
     }
     cluster.run(12 * SECOND);
     assertTrue(
-        cluster.tasksOnMachines() >= before, cluster.tasksOnMachines() + " of " + before + " left");
+        cluster.tasksOnMachines() >= before,
+        cluster.tasksOnMachines() + " of " + before + " tasks left");
     assertEquals(List.of(), cluster.violations());
   }
 
-  private static double writesForEachTask(int machines) {
+  private static double writesPerTask(int machines) {
     SimulatedCluster cluster =
         new SimulatedCluster(3, 32, new ClusterScale(machines, machines * 4000L, 300, 60));
     cluster.run(3 * SECOND);
--- a/src/test/java/gladeknot/app/MachineFaultsTest.java
+++ b/src/test/java/gladeknot/app/MachineFaultsTest.java
@@ -13,12 +13,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Faults of machines and of what they send, together with changes of owner and cancellations. */
+/**
+ * Faults of machines and of their heartbeats, combined with ownership transfers and cancellations.
+ */
 class MachineFaultsTest {
   private static final List<Case> CASES =
       List.of(
           new Case(
-              "a command or its answer is delayed while the machine keeps working",
+              "a command or its answer is delayed while the machine keeps running tasks",
               1,
               cluster -> {
                 cluster.faults().delayCommands(3 * SECOND);
@@ -33,7 +35,7 @@
                 cluster.faults().delayCommands(0);
               }),
           new Case(
-              "a report is held back until a new owner has acted",
+              "a heartbeat is delayed until a new owner has acted",
               2,
               cluster -> {
                 cluster.machineFaults().captureHeartbeats();
@@ -48,7 +50,7 @@
                 cluster.run(10 * SECOND);
               }),
           new Case(
-              "an owner ends while machines are unreachable or get no answers of the new one",
+              "an owner ends while machines are unreachable or get no answers of the new owner",
               3,
               cluster -> {
                 cluster.machineFaults().dropResponses(0, true);
@@ -87,7 +89,7 @@
                 cluster.taskDuration(4 * SECOND);
               }),
           new Case(
-              "more work than capacity, urgent and not, over slow links",
+              "more jobs than capacity, urgent and not, over slow links",
               8,
               cluster -> {
                 cluster.faults().delayCommands(SECOND);
@@ -103,7 +105,7 @@
                 cluster.faults().delayStateCalls(0);
               }),
           new Case(
-              "jobs bound to one zone, arrays too, lose machines",
+              "jobs bound to one zone, including arrays, lose machines",
               16,
               cluster -> {
                 Map<String, Object> array = TestJobs.job("req-zone1", "array", 12);
@@ -125,7 +127,7 @@
                 cluster.machineFaults().kill(1);
               }),
           new Case(
-              "machines reach no controller while commands reach them",
+              "heartbeats reach no controller while commands reach the machines",
               17,
               cluster -> {
                 for (int i = 0; i < 4; i++) {
@@ -141,7 +143,7 @@
                 }
               }),
           new Case(
-              "old reports come after newer ones, also of earlier sessions and attempts",
+              "old heartbeats arrive after newer ones, also of earlier sessions and attempts",
               18,
               cluster -> {
                 cluster.faults().duplicateHeartbeats(true);
@@ -166,13 +168,13 @@
               }));
 
   @TestFactory
-  Stream<DynamicTest> noRuleBreaksAndNothingIsForgotten() {
+  Stream<DynamicTest> invariantsHoldAndJobsSettle() {
     return FaultScenarios.tests(CASES);
   }
 
-  /** A machine that is out of reach when a kill is decided gets it once it can be reached. */
+  /** A machine that is unreachable when a kill is decided gets the kill once it is reachable. */
   @Test
-  void killsAreRepeatedUntilTheyAreAnswered() {
+  void killsAreRetriedUntilAcknowledged() {
     // given
     SimulatedCluster cluster = FaultScenarios.clusterWithService(31);
     assertEquals(4, FaultScenarios.runningTasks(cluster, "req-web"));
@@ -186,7 +188,7 @@
     for (int i = 0; i < cluster.machineCount(); i++) {
       cluster.machineFaults().dropResponses(i, false);
     }
-    // Long before their leases expire, and without any heartbeat.
+    // Long before the leases of the workers expire, and without any heartbeat.
     cluster.run(2_300_000);
     // then
     assertEquals(Map.of(), cluster.zones("req-web"));
--- a/src/test/java/gladeknot/app/OwnershipFaultsTest.java
+++ b/src/test/java/gladeknot/app/OwnershipFaultsTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Owners of shards that end, hand over and come back while jobs end and start. */
+/** Shard owners that end, relinquish shards and return while jobs start and end. */
 class OwnershipFaultsTest {
   private static final List<Case> CASES =
       List.of(
           new Case(
-              "jobs of two or three tasks end far apart across changes of owner",
+              "tasks of small jobs end far apart across ownership transfers",
               7,
               cluster -> {
                 cluster.submit(0, TestJobs.job("req-far1", "array", 3));
@@ -49,7 +49,7 @@
                 cluster.faults().stateOutage(false);
               }),
           new Case(
-              "all controllers are away for longer than a lease",
+              "all controllers are down for longer than a lease",
               14,
               cluster -> {
                 cluster.cancel(0, "req-cut");
@@ -59,7 +59,7 @@
                 cluster.start(0, 1, 2);
               }),
           new Case(
-              "controllers hand over and back, all end, one returns, also within a second",
+              "shards are taken over and relinquished, all controllers end, some return within a second",
               15,
               cluster -> {
                 cluster.kill(0);
@@ -75,11 +75,12 @@
                 cluster.start(0, 1, 2);
               }),
           new Case(
-              "an earlier incarnation's announcement is committed late, and its lease expires first",
+              "an earlier incarnation's announcement is committed late, its lease expires first",
               23,
               cluster -> {
-                // Unconditional, it took the liveness key along; the shard was taken while its
-                // owner, refused by the state service just then, still answered its workers.
+                // An unconditional announcement replaced the liveness key, which then expired with
+                // the earlier incarnation's lease. The shard was taken over while its owner, whose
+                // state calls were rejected at that moment, still answered its workers.
                 cluster.kill(0);
                 cluster.run(SECOND);
                 cluster.faults().holdNextCommit("g/alive/node-0", 4 * SECOND);
@@ -94,13 +95,13 @@
               }));
 
   @TestFactory
-  Stream<DynamicTest> noRuleBreaksAndNothingIsForgotten() {
+  Stream<DynamicTest> invariantsHoldAndJobsSettle() {
     return FaultScenarios.tests(CASES);
   }
 
-  /** A former life's announcement that is carried out late must not take the liveness key. */
+  /** An earlier incarnation's announcement that is applied late must not replace the key. */
   @Test
-  void aLateAnnouncementDoesNotTakeTheLivenessKey() {
+  void lateAnnouncementDoesNotReplaceLivenessKey() {
     // given
     SimulatedCluster cluster = FaultScenarios.clusterWithService(36);
     cluster.kill(0);
@@ -120,9 +121,9 @@
     }
   }
 
-  /** Delegates renew leases in turn: each cancelled task gets its kill from them as well. */
+  /** Delegates renew leases in turn, so they must also send the kills of cancelled tasks. */
   @Test
-  void delegatesStopWhatIsCancelled() {
+  void delegatesKillCancelledTasks() {
     // given
     SimulatedCluster cluster = FaultScenarios.clusterWithService(35);
     cluster.submit(0, TestJobs.job("req-cut", "service", 8));
@@ -131,7 +132,8 @@
     cluster.kill(0);
     cluster.run(SECOND);
     cluster.cancel(1, "req-cut");
-    // Its lease holds for twice as long: nobody has taken its shard yet, and its workers live on.
+    // Node 0's lease lasts twice as long, so its shard is not taken over yet and its workers run
+    // on.
     cluster.run(6 * SECOND);
     // then
     assertEquals(Map.of(), cluster.zones("req-cut"));
--- a/src/test/java/gladeknot/app/PartialCutsLoopbackTest.java
+++ b/src/test/java/gladeknot/app/PartialCutsLoopbackTest.java
@@ -29,8 +29,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Three controllers as real processes on loopback while users submit, poll and cancel: traffic is
- * dropped in single directions and restored, and the recorded history is checked at the end.
+ * Asymmetric partitions between real processes: three controllers on loopback while users submit,
+ * poll and cancel. Traffic is dropped in single directions and restored. The recorded history is
+ * checked at the end.
  */
 class PartialCutsLoopbackTest {
   private static final int CONTROLLERS = 3;
@@ -48,18 +49,18 @@
   }
 
   /** Waits until the condition holds and returns the seconds waited; fails on a timeout. */
-  private static double await(String what, double seconds, BooleanSupplier holds) {
+  private static double await(String what, double seconds, BooleanSupplier condition) {
     long startNanos = System.nanoTime();
-    while (!holds.getAsBoolean()) {
-      double waited = (System.nanoTime() - startNanos) / 1e9;
-      assertTrue(waited < seconds, what + ": not within " + seconds + " s");
+    while (!condition.getAsBoolean()) {
+      double waitedSeconds = (System.nanoTime() - startNanos) / 1e9;
+      assertTrue(waitedSeconds < seconds, what + ": not within " + seconds + " s");
       pause(0.1);
     }
     return (System.nanoTime() - startNanos) / 1e9;
   }
 
   @Test
-  void everyJobEndsOnceWhicheverDirectionFails() throws Exception {
+  void everyJobEndsOnceUnderAsymmetricPartitions() throws Exception {
     try (LoopbackCluster cluster = new LoopbackCluster(dir, CONTROLLERS, true)) {
       await("each shard with its home", 40, cluster::eachShardHasItsHome);
       LoopbackUsers users =
@@ -102,11 +103,11 @@
     return cluster.history().unfinishedJobs().isEmpty();
   }
 
-  /** Requests arrive and answers are lost: the shard moves, and refusals state the cause. */
+  /** State requests arrive but answers are lost: the shard moves and refusals state the cause. */
   private void dropStateAnswers(LoopbackCluster cluster, LoopbackUsers users) throws Exception {
     cluster.setMode(stateLink(0), Direction.ANSWERS, Mode.DROP);
-    double after = await("shard 0 moves", 15, () -> !"node-0".equals(cluster.owner(0)));
-    System.out.printf("shard 0 moved %.1f s after the cut%n", after);
+    double elapsedSeconds = await("shard 0 moves", 15, () -> !"node-0".equals(cluster.owner(0)));
+    System.out.printf("shard 0 moved %.1f s after the cut%n", elapsedSeconds);
     Optional<HttpResponse<byte[]>> refusal =
         users.send(
             cluster.services().nodes().get(0),
@@ -116,8 +117,8 @@
             Duration.ofSeconds(3));
     assertEquals(503, refusal.orElseThrow().statusCode());
     assertTrue(refusal.get().headers().firstValue("Retry-After").isPresent());
-    String why = new String(refusal.get().body(), StandardCharsets.UTF_8);
-    assertTrue(why.contains("the state service can't be reached: state"), why);
+    String body = new String(refusal.get().body(), StandardCharsets.UTF_8);
+    assertTrue(body.contains("the state service can't be reached: state"), body);
     assertFalse(reachesState(cluster, 0));
     assertTrue(status(cluster, 0, false).contains("no new orders"));
     assertTrue(cluster.log(0).contains("authority for shard 0: no new orders after full"));
--- a/src/test/java/gladeknot/app/PartitionFaultsTest.java
+++ b/src/test/java/gladeknot/app/PartitionFaultsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Controllers and zones that are cut off while jobs are cancelled elsewhere. */
+/** Partitioned controllers and zones while jobs are cancelled through other controllers. */
 class PartitionFaultsTest {
   private static final List<Case> CASES =
       List.of(
@@ -27,7 +27,7 @@
                 cluster.faults().disconnectFromPeers(0, false);
               }),
           new Case(
-              "a zone with workers and a controller is cut off for longer than a lease",
+              "a zone with workers and a controller is partitioned for longer than a lease",
               9,
               cluster -> {
                 cluster.faults().isolateZone("b", 1);
@@ -37,7 +37,7 @@
                 cluster.faults().rejoinZone();
               }),
           new Case(
-              "an owner is cut from its workers alone, and jobs are cancelled",
+              "an owner loses only its workers, and jobs are cancelled",
               5,
               20,
               cluster -> {
@@ -48,12 +48,12 @@
                 cluster.faults().disconnectFromWorkers(0, false);
               }),
           new Case(
-              "two zones apart: delegates in turn renew leases while jobs are cancelled",
+              "two zones partitioned: delegates renew leases in turn while jobs are cancelled",
               5,
               22,
               cluster -> {
-                // Every owner still reaches its own zone, so that none relinquishes its shard.
-                // Without kills by delegates a cancelled task ran while they alternated.
+                // Every owner still reaches its own zone, so no owner relinquishes its shard. When
+                // delegates sent no kills, a cancelled task kept running while they alternated.
                 cluster.faults().partitionZone("a", Set.of(0, 1));
                 cluster.faults().partitionZone("b", Set.of(2, 3, 4));
                 cluster.run(4 * SECOND);
@@ -63,7 +63,7 @@
               }));
 
   @TestFactory
-  Stream<DynamicTest> noRuleBreaksAndNothingIsForgotten() {
+  Stream<DynamicTest> invariantsHoldAndJobsSettle() {
     return FaultScenarios.tests(CASES);
   }
 }
--- a/src/test/java/gladeknot/app/QuotaLimitsTest.java
+++ b/src/test/java/gladeknot/app/QuotaLimitsTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * A team's limit that differs from the one that its shares were made for, and records that are not
- * what the program writes: nothing new starts beyond the limit, nothing is stopped, and the record
- * is put right.
+ * Guards against tasks that start beyond a team's limit after the limit changes, or while the
+ * stored record of its shares is malformed. No task may start beyond the limit, no running task is
+ * stopped, and the record is corrected.
  *
- * <p>What operators would have seen: after a restart with a lower limit, or with a first one, a
- * team's tasks went on being started beyond it. The shares had been divided once, when the team's
- * record was made, and nothing compared them with the limit again.
+ * <p>Failure: after a restart with a lower limit, or with a first limit, tasks of a team kept
+ * starting beyond it. The shares were computed once, when the team's record was created, and never
+ * compared with the limit again.
  */
 class QuotaLimitsTest {
   private static final int CONTROLLERS = 3;
@@ -33,9 +33,9 @@
   /**
    * A change of the limit.
    *
-   * @param running how many tasks of one CPU run in the end
+   * @param running the number of one-CPU tasks that run in the end
    */
-  private record LimitCase(String name, int before, int after, int running) {}
+  private record LimitCase(String name, int limitBefore, int limitAfter, int running) {}
 
   private static final List<LimitCase> LIMITS =
       List.of(
@@ -52,10 +52,10 @@
       List.of(
           new RecordCase("shares beyond the limit", shares(List.of(24_000, 24_000, 24_000))),
           new RecordCase("too few shares", shares(List.of(24_000))),
-          new RecordCase("no list", Json.of("c", "24000", "g", "0")),
+          new RecordCase("shares that are not lists", Json.of("c", "24000", "g", "0")),
           new RecordCase("an empty record", Json.of()),
           new RecordCase("a negative share", shares(List.of(-24_000, 24_000, 24_000))),
-          new RecordCase("a share that is no number", shares(Arrays.asList("x", null, 24_000))),
+          new RecordCase("a share that is not a number", shares(Arrays.asList("x", null, 24_000))),
           new RecordCase("no shares at all", shares(List.of(0, 0, 0))));
 
   private static Map<String, Object> shares(List<?> cpus) {
@@ -67,16 +67,16 @@
   }
 
   @TestFactory
-  Stream<DynamicTest> aChangedLimitIsKept() {
+  Stream<DynamicTest> changedLimitIsEnforced() {
     return LIMITS.stream()
         .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
   }
 
   private static void play(LimitCase testCase) {
     // given
-    SimulatedCluster cluster = busyCluster(testCase.before());
+    SimulatedCluster cluster = busyCluster(testCase.limitBefore());
     // when
-    cluster.changeLimits(dev(testCase.after()));
+    cluster.changeLimits(dev(testCase.limitAfter()));
     for (int i = 0; i < CONTROLLERS; i++) {
       cluster.kill(i);
     }
@@ -88,14 +88,14 @@
     cluster.taskDuration(8 * SECOND);
     cluster.submit(1, longJob("req-next", 20 * TASKS));
     cluster.run(60 * SECOND);
-    int most = mostRunning(cluster, 50);
+    int maxTasks = maxRunning(cluster, 50);
     // then
     assertEquals(List.of(), violations(cluster));
-    assertEquals(testCase.running(), most);
+    assertEquals(testCase.running(), maxTasks);
   }
 
   @TestFactory
-  Stream<DynamicTest> aBadRecordStartsNothingBeyondTheLimitAndIsPutRight() {
+  Stream<DynamicTest> malformedRecordIsCorrectedAndStartsStayWithinLimit() {
     return RECORDS.stream()
         .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
   }
@@ -106,25 +106,28 @@
     // when
     cluster.state().overwrite(RECORD, testCase.record());
     cluster.run(10 * SECOND);
-    assertEquals(24, cluster.tasksOnMachines(), "nothing is stopped");
+    assertEquals(24, cluster.tasksOnMachines(), "running tasks must not be stopped");
     cluster.taskDuration(8 * SECOND);
     cluster.submit(1, longJob("req-next", 20 * TASKS));
     cluster.run(60 * SECOND);
-    int most = mostRunning(cluster, 50);
+    int maxTasks = maxRunning(cluster, 50);
     // then
     assertEquals(List.of(), violations(cluster));
     assertEquals(24_000L, sharesOf(cluster).stream().mapToLong(Long::longValue).sum());
-    assertEquals(24, most);
+    assertEquals(24, maxTasks);
   }
 
-  /** The most tasks that are on machines at once within so many seconds: they end together. */
-  private static int mostRunning(SimulatedCluster cluster, int seconds) {
-    int most = 0;
+  /**
+   * Returns the maximum number of tasks on machines, sampled once a second. A single sample would
+   * miss it, because the tasks end together.
+   */
+  private static int maxRunning(SimulatedCluster cluster, int seconds) {
+    int maxTasks = 0;
     for (int i = 0; i < seconds; i++) {
       cluster.run(SECOND);
-      most = Math.max(most, cluster.tasksOnMachines());
+      maxTasks = Math.max(maxTasks, cluster.tasksOnMachines());
     }
-    return most;
+    return maxTasks;
   }
 
   private static SimulatedCluster busyCluster(int limit) {
@@ -144,7 +147,10 @@
     return job;
   }
 
-  /** What the stored record holds is wrong here from the start: what is on machines counts. */
+  /**
+   * Returns the violations other than those of stored records, which the tests make wrong on
+   * purpose. Only the tasks on machines count here.
+   */
   private static List<String> violations(SimulatedCluster cluster) {
     return cluster.violations().stream()
         .filter(violation -> !violation.startsWith("quota: shares of"))
--- a/src/test/java/gladeknot/app/QuotaRandomFaultsTest.java
+++ b/src/test/java/gladeknot/app/QuotaRandomFaultsTest.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Three teams at their limits of CPUs and GPUs, shards that lend quota to each other, and faults
- * drawn from a seed that overlap, while users submit and cancel: no rule is broken, and afterwards
- * everything runs or ends. More seeds: {@code mvn test -Dtest=QuotaRandomFaultsTest
- * -Dgladeknot.seeds=FIRST,COUNT}.
+ * Random overlapping faults, drawn from a seed, with three teams at their CPU and GPU limits, quota
+ * transfers between shards, and users that submit and cancel. No invariant may be violated, and
+ * after the faults every job must run or end. For more seeds: {@code mvn test
+ * -Dtest=QuotaRandomFaultsTest -Dgladeknot.seeds=FIRST,COUNT}.
  */
 class QuotaRandomFaultsTest {
   private static final String SEEDS_PROPERTY = "gladeknot.seeds";
   private static final long FIRST_SEED = 1;
-  private static final long SEEDS = 16;
+  private static final long SEED_COUNT = 16;
   private static final int CONTROLLERS = 3;
   private static final int FAULT_SECONDS = 90;
-  private static final int ROUNDS = 30;
+  private static final int MAX_SETTLE_ROUNDS = 30;
 
   private static final ClusterScale SCALE =
       ClusterScale.withTeams(
@@ -42,7 +42,7 @@
   private static LongStream seeds() {
     String property = System.getProperty(SEEDS_PROPERTY, "");
     if (property.isEmpty()) {
-      return LongStream.range(FIRST_SEED, FIRST_SEED + SEEDS);
+      return LongStream.range(FIRST_SEED, FIRST_SEED + SEED_COUNT);
     }
     String[] range = property.split(",");
     long first = Long.parseLong(range[0]);
@@ -50,18 +50,18 @@
   }
 
   @TestFactory
-  Stream<DynamicTest> noRuleBreaksAndAllWorkEnds() {
-    return seeds().mapToObj(seed -> DynamicTest.dynamicTest("seed " + seed, () -> play(seed)));
+  Stream<DynamicTest> invariantsHoldAndAllJobsSettle() {
+    return seeds().mapToObj(seed -> DynamicTest.dynamicTest("seed " + seed, () -> runSeed(seed)));
   }
 
-  private static void play(long seed) {
+  private static void runSeed(long seed) {
     // given
     SplittableRandom random = new SplittableRandom(seed);
     SimulatedCluster cluster = new SimulatedCluster(CONTROLLERS, seed, SCALE);
     cluster.startPolling();
     cluster.run(3 * SECOND);
     List<String> arrays = new ArrayList<>();
-    submitSome(cluster, arrays, 12, random);
+    submitArrays(cluster, arrays, 12, random);
     cluster.submit(0, job("req-web1", "service", 4, "dev", 0));
     cluster.submit(1, job("req-web2", "service", 2, "lab", 1));
     cluster.submit(2, job("req-gang", "ensemble", 3, "ops", 1));
@@ -72,7 +72,7 @@
       faults.step();
       cluster.taskDuration((2 + random.nextInt(20)) * SECOND);
       if (second % 6 == 0) {
-        submitSome(cluster, arrays, 2, random);
+        submitArrays(cluster, arrays, 2, random);
       }
       if (random.nextInt(5) == 0) {
         cluster.cancel(random.nextInt(CONTROLLERS), arrays.get(random.nextInt(arrays.size())));
@@ -82,7 +82,7 @@
     faults.endAll();
     cluster.taskDuration(4 * SECOND);
     cluster.expectRecovery();
-    for (int i = 0; i < ROUNDS && !settled(cluster, arrays); i++) {
+    for (int i = 0; i < MAX_SETTLE_ROUNDS && !settled(cluster, arrays); i++) {
       cluster.run(10 * SECOND);
     }
     cluster.run(20 * SECOND);
@@ -104,7 +104,7 @@
             .allMatch(phase -> phase.equals("done") || phase.equals("withdrawn"));
   }
 
-  private static void submitSome(
+  private static void submitArrays(
       SimulatedCluster cluster, List<String> arrays, int count, SplittableRandom random) {
     for (int i = 0; i < count; i++) {
       String id = "req-array" + arrays.size();
--- a/src/test/java/gladeknot/app/RequestsTest.java
+++ b/src/test/java/gladeknot/app/RequestsTest.java
@@ -47,17 +47,17 @@
     "memoryGb, 17.0, 422",
     "cores, 3.0, 201",
   })
-  void submissions(String field, String value, int status) {
+  void submissionsAreValidated(String field, String value, int status) {
     Map<String, Object> job = new HashMap<>(TestJobs.job("req-1", "array", 2));
-    Object typed = value;
+    Object typedValue = value;
     if (value.matches("-?[0-9]+")) {
-      typed = Integer.parseInt(value);
+      typedValue = Integer.parseInt(value);
     } else if (value.matches("-?[0-9.]+")) {
-      typed = Double.parseDouble(value);
+      typedValue = Double.parseDouble(value);
     }
-    job.put(field, typed);
+    job.put(field, typedValue);
     SimulatedCluster cluster = runningCluster();
-    int[] actual = {0};
+    int[] actualStatus = {0};
     String[] body = {""};
     cluster.request(
         0,
@@ -65,11 +65,11 @@
         "/work",
         job,
         answer -> {
-          actual[0] = answer.status();
+          actualStatus[0] = answer.status();
           body[0] = new String(answer.body(), StandardCharsets.UTF_8);
         });
     cluster.run(SimulatedCluster.SECOND);
-    assertEquals(status, actual[0], body[0]);
+    assertEquals(status, actualStatus[0], body[0]);
     assertTrue(status == 201 || body[0].contains(field), body[0]);
   }
 
@@ -87,19 +87,19 @@
     "POST, /work, 400",
     "POST, /hello, 400",
   })
-  void paths(String method, String path, int status) {
+  void pathsAndMethodsAreValidated(String method, String path, int status) {
     SimulatedCluster cluster = runningCluster();
-    int[] actual = {0};
-    cluster.request(0, method, path, List.of(), answer -> actual[0] = answer.status());
+    int[] actualStatus = {0};
+    cluster.request(0, method, path, List.of(), answer -> actualStatus[0] = answer.status());
     cluster.run(SimulatedCluster.SECOND);
-    assertEquals(status, actual[0]);
+    assertEquals(status, actualStatus[0]);
   }
 
   @ParameterizedTest
   @CsvSource({"host", "tenure", "tick", "fence", "endpoint"})
-  void reportsWithoutAField(String field) {
+  void heartbeatsWithoutRequiredFieldAreRejected(String field) {
     SimulatedCluster cluster = runningCluster();
-    Map<String, Object> report =
+    Map<String, Object> heartbeat =
         Json.of(
             "host",
             "vm-1",
@@ -119,11 +119,11 @@
             0,
             "strands",
             List.of());
-    report.remove(field);
-    int[] actual = {0};
-    cluster.request(0, "POST", "/hello", report, answer -> actual[0] = answer.status());
+    heartbeat.remove(field);
+    int[] actualStatus = {0};
+    cluster.request(0, "POST", "/hello", heartbeat, answer -> actualStatus[0] = answer.status());
     cluster.run(SimulatedCluster.SECOND);
-    assertEquals(400, actual[0]);
+    assertEquals(400, actualStatus[0]);
     assertEquals(List.of(), cluster.state().keys("g/w/"));
   }
 }
--- a/src/test/java/gladeknot/app/SimulatedClusterTest.java
+++ b/src/test/java/gladeknot/app/SimulatedClusterTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Three controllers with all around them, under faults: the rules hold and the work gets done. */
+/** A simulated cluster of three controllers under faults: invariants hold and jobs complete. */
 class SimulatedClusterTest {
   private record Case(String name, long seed, Consumer<SimulatedCluster> faults) {}
 
@@ -49,7 +49,7 @@
                 cluster.run(20 * SECOND);
               }),
           new Case(
-              "all end at once and are back within a fraction of a second",
+              "all controllers end at once and return within a fraction of a second",
               5,
               cluster -> {
                 for (int i = 0; i < 3; i++) {
@@ -62,7 +62,7 @@
                 cluster.run(20 * SECOND);
               }),
           new Case(
-              "all end at once, and machines at work report only long after the restart",
+              "all controllers restart at once, and busy machines send heartbeats only long after",
               24,
               cluster -> {
                 Set<String> before = cluster.hosts("req-web");
@@ -79,12 +79,13 @@
                   cluster.faults().disconnectFromWorkers(i, false);
                 }
                 cluster.run(400_000);
-                // They are not taken for machines that never came up, nor others rented for them.
+                // The machines do not count as never started, and no replacements are rented.
                 assertEquals(rentals, cluster.cloud().rentals());
-                assertTrue(cluster.rented().containsAll(before), "given back: " + before);
+                assertTrue(
+                    cluster.rented().containsAll(before), "some of these were released: " + before);
               }),
           new Case(
-              "one after the other is restarted",
+              "controllers are restarted one after the other",
               6,
               cluster -> {
                 for (int i = 0; i < 3; i++) {
@@ -131,14 +132,14 @@
                 cluster.run(20 * SECOND);
               }),
           new Case(
-              "commits get no answer and were carried out",
+              "commits get no answer but are applied",
               11,
               cluster -> {
                 cluster.faults().loseCommitResponses(3);
                 cluster.run(20 * SECOND);
               }),
           new Case(
-              "commits get no answer and are carried out late",
+              "commits get no answer and are applied late",
               12,
               cluster -> {
                 cluster.faults().delayLostCommits(6 * SECOND);
@@ -146,7 +147,7 @@
                 cluster.run(30 * SECOND);
               }),
           new Case(
-              "machines end with all that is on them",
+              "machines fail with all their tasks",
               13,
               cluster -> {
                 cluster.machineFaults().kill(0);
@@ -167,7 +168,7 @@
                 cluster.run(25 * SECOND);
               }),
           new Case(
-              "a machine's reports arrive, answers and commands don't reach it",
+              "a machine's heartbeats arrive, but responses and commands don't reach it",
               15,
               cluster -> {
                 cluster.machineFaults().dropResponses(0, true);
@@ -175,10 +176,10 @@
                 cluster.run(60 * SECOND);
               }),
           new Case(
-              "no machine receives anything any more: all are replaced",
+              "machines receive no traffic: all are replaced",
               23,
               cluster -> {
-                // With one controller left each machine comes back to it before a lease is over.
+                // With one controller left, each machine contacts it again before a lease expires.
                 cluster.kill(1);
                 cluster.kill(2);
                 cluster.run(20 * SECOND);
@@ -193,7 +194,7 @@
                 cluster.start(2);
               }),
           new Case(
-              "a machine receives nothing for a while, and its controller is restarted meanwhile",
+              "machines receive no traffic for a while, and their controllers restart meanwhile",
               16,
               cluster -> {
                 cluster.machineFaults().dropResponses(1, true);
@@ -210,14 +211,14 @@
                 cluster.run(20 * SECOND);
               }),
           new Case(
-              "copies of reports come late, also of machines that were given back",
+              "duplicate heartbeats arrive late, also from released machines",
               17,
               cluster -> {
                 cluster.faults().duplicateHeartbeats(true);
                 cluster.run(150 * SECOND);
               }),
           new Case(
-              "copies of reports come late, over changes of hands and ends of machines",
+              "duplicate heartbeats arrive late, across ownership transfers and machine failures",
               18,
               cluster -> {
                 cluster.faults().duplicateHeartbeats(true);
@@ -233,7 +234,7 @@
                 cluster.run(30 * SECOND);
               }),
           new Case(
-              "a controller loses the state service and the others, not the workers",
+              "a controller loses the state service and its peers, but not the workers",
               19,
               cluster -> {
                 cluster.faults().disconnectFromState(1, true);
@@ -244,18 +245,18 @@
                 cluster.run(20 * SECOND);
               }),
           new Case(
-              "machines are back at once, without what was on them",
+              "machines restart at once without their tasks",
               20,
               cluster -> {
                 for (int i = 0; i < cluster.machineCount(); i++) {
                   cluster.machineFaults().reboot(i);
                 }
-                // Less than the heartbeat timeout and the time to replace machines.
+                // Shorter than the heartbeat timeout plus the time to replace machines.
                 cluster.run(7 * SECOND);
                 assertEquals(4, FaultScenarios.runningTasks(cluster, "req-web"));
               }),
           new Case(
-              "a controller is back in the middle of its shard's takeover, again and again",
+              "a controller returns during the failover of its shard, repeatedly",
               21,
               cluster -> {
                 cluster.faults().delayLostCommits(2 * SECOND);
@@ -269,7 +270,7 @@
                 cluster.run(20 * SECOND);
               }),
           new Case(
-              "all this at once",
+              "several faults at once",
               22,
               cluster -> {
                 cluster.faults().duplicateHeartbeats(true);
@@ -291,7 +292,7 @@
               }));
 
   @TestFactory
-  Stream<DynamicTest> rulesHoldAndWorkGetsDone() {
+  Stream<DynamicTest> invariantsHoldAndJobsComplete() {
     return CASES.stream()
         .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
   }
@@ -323,7 +324,7 @@
   }
 
   @Test
-  void aRepeatedSubmissionIsTheSameJobForGood() {
+  void repeatedSubmissionOfDoneJobReturnsSameJob() {
     SimulatedCluster cluster = new SimulatedCluster(3, 20);
     cluster.run(3 * SECOND);
     cluster.submit(0, TestJobs.job("req-once", "array", 3));
@@ -344,7 +345,7 @@
   }
 
   @Test
-  void aHundredThousandTasksAreTakenInAndStartedInOrder() {
+  void hundredThousandTasksAreAcceptedAndStartedInOrder() {
     SimulatedCluster cluster = new SimulatedCluster(3, 21);
     cluster.run(3 * SECOND);
     cluster.submit(0, TestJobs.job("req-many", "array", 100_000));
@@ -355,12 +356,12 @@
     assertEquals(List.of(), cluster.violations());
     for (String key : cluster.state().keys("g/sl/")) {
       int size = Json.bytes(cluster.state().get(key)).length;
-      assertTrue(size < 8192, key + " has " + size);
+      assertTrue(size < 8192, key + " has bytes: " + size);
     }
   }
 
   @Test
-  void rentalNamesAreNotUsedAgainAfterRestarts() {
+  void rentalNamesAreNotReusedAfterRestarts() {
     SimulatedCluster cluster = new SimulatedCluster(3, 22);
     cluster.run(3 * SECOND);
     cluster.submit(0, TestJobs.job("req-one", "array", 8));
@@ -372,7 +373,7 @@
     }
     cluster.submit(1, TestJobs.job("req-two", "service", 4));
     cluster.run(30 * SECOND);
-    // A name used again would have brought the old machines and counted once.
+    // A reused name would return the existing machines and would not count as a new rental.
     assertTrue(before > 0 && cluster.cloud().rentals() > before);
     assertEquals(List.of(), cluster.violations());
   }
--- a/src/test/java/gladeknot/app/SoakLoopbackTest.java
+++ b/src/test/java/gladeknot/app/SoakLoopbackTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Real processes under overlapping faults from fixed seeds, checked from outside. The long run is
- * {@link SoakCommand}; files of a failed seed are left in {@code target/soak}.
+ * Runs real processes under overlapping faults from fixed seeds and checks their recorded history.
+ * {@link SoakCommand} is the long run. Files of a failed seed stay in {@code target/soak}.
  */
 class SoakLoopbackTest {
   private static final long FAULT_MILLIS = 12_000;
@@ -20,13 +20,13 @@
 
   @ParameterizedTest
   @ValueSource(longs = {101, 103, 104})
-  void allRulesHold(long seed) {
+  void allInvariantsHold(long seed) {
     Path dir = DIR.resolve("test-seed-" + seed);
     assertEquals(List.of(), LoopbackSoak.problemsOf(dir, seed, FAULT_MILLIS));
   }
 
   @Test
-  void badArgumentsAreRefused() {
+  void invalidArgumentsAreRejected() {
     assertEquals(2, SoakCommand.run());
     assertEquals(2, SoakCommand.run("1"));
     assertEquals(2, SoakCommand.run("-1", "x", "0"));
--- a/src/test/java/gladeknot/app/SplitFaultsTest.java
+++ b/src/test/java/gladeknot/app/SplitFaultsTest.java
@@ -15,72 +15,79 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Segments are split while the watch of the controller that splits them lags.
+ * Guards against a task running on two machines after a segment split by a controller whose watch
+ * lags.
  *
- * <p>What users saw: under faults, at production size, one task of a service ran on two machines at
- * once. No controller reported anything.
+ * <p>Failure: under faults, at production size, one task of a service ran on two machines at once,
+ * and no controller reported it.
  *
- * <p>Order of events: a service waits in its home shard, which has no record of it yet, as nothing
- * of it has started. The state service is slow, so that the watch of a controller S lags.
- * Controller C claims a task and commits its start: it writes the first records of the job for its
- * own shard and for the home shard, in the segments of the present layout. A segment of S is full,
- * and S commits the mark that splits all segments. It works by the new layout at once, while its
- * watch has not reached the claim: the home shard's slice seems to have no record, and under the
- * new layout the first one belongs into a segment that does not exist. S claims the same task on
- * condition that this segment is absent, which it is. Both starts are committed.
+ * <p>Order of events:
  *
- * <p>Cause: the controller's copy shows its own writes ahead of earlier writes of others. The mark
- * was used as soon as it was in the copy, and with it the absence of a record under the new layout,
- * which says nothing of a record under the former one. Evidence: records of one task in two shards
- * as soon as the second start is committed, and the task on two machines.
+ * <ol>
+ *   <li>A service is pending in its home shard. None of its tasks has started, so the home shard
+ *       has no record of it. The state service is slow, and the watch of controller S lags.
+ *   <li>Controller C claims a task and commits its start. C writes the first records of the job for
+ *       its own shard and for the home shard, in segments of the current layout.
+ *   <li>A segment of S is full, and S commits the storage format that splits all segments. S uses
+ *       the new layout at once, although its watch has not reached the claim. To S, the home
+ *       shard's slice has no record, and its first record belongs in a segment of the new layout
+ *       that does not exist yet.
+ *   <li>S claims the same task on the precondition that this segment is absent, which holds. Both
+ *       starts are committed.
+ * </ol>
+ *
+ * <p>Cause: a controller's cache shows its own writes before earlier writes of other controllers.
+ * The storage format was used as soon as it was in the cache. Absence of a record under the new
+ * layout was taken as proof, although a record may exist under the former layout. Seen as records
+ * of one task in two shards once the second start is committed, and as the task on two machines.
  */
 class SplitFaultsTest {
   private static final int CONTROLLERS = 3;
   private static final int MACHINES = 12;
   private static final int VALUE_BYTES = 1_500;
-  private static final long STEP = 10_000;
+  private static final long STEP_MICROS = 10_000;
 
-  /** From so many bytes on a segment holds fewer starts than there is room for on machines. */
+  /** Segment size from which a segment takes fewer starts than the machines have capacity for. */
   private static final int NEARLY_FULL_BYTES = 1_010;
 
-  /** The controller that splits the segments, and whose watch lags. */
+  /** Controller that splits the segments and whose watch lags. */
   private static final int SPLITTING = 0;
 
-  /** The controller that claims under the former layout. */
+  /** Controller that claims under the former layout. */
   private static final int CLAIMING = 1;
 
-  /** The controller in whose shard the claimed job waits without a record. */
+  /** Controller whose shard holds the claimed job as pending, without a record. */
   private static final int HOME = 2;
 
   private static final String CLAIMED = "req-claimed";
   private static final String GROWING = "req-growing";
 
   @Test
-  void aTaskClaimedUnderTheFormerLayoutIsNotStartedByTheControllerThatSplits() {
+  void taskClaimedUnderFormerLayoutIsNotStartedBySplittingController() {
     // given
-    SimulatedCluster cluster = fullMachines();
+    SimulatedCluster cluster = clusterWithFullMachines();
     fillSegmentOf(GROWING, cluster);
     cluster.submit(HOME, service(CLAIMED, 2, 3.0));
     cluster.run(5 * SECOND);
     assertFalse(isRecorded(cluster, CLAIMED));
     cluster.faults().stallWatch(SPLITTING, true);
     // when
-    cluster.cancel(CLAIMING, roomIn(CLAIMING));
+    cluster.cancel(CLAIMING, placeholderIn(CLAIMING));
     await(cluster, "claim", () -> cluster.hasRecordedAttempt(CLAIMED, CLAIMING));
     cluster.submit(SPLITTING, service(GROWING, 6, 0.2));
     await(cluster, "split", () -> segmentSplit(cluster) == 2);
-    cluster.cancel(SPLITTING, roomIn(SPLITTING));
+    cluster.cancel(SPLITTING, placeholderIn(SPLITTING));
     cluster.run(3 * SECOND);
     cluster.faults().stallWatch(SPLITTING, false);
     cluster.run(20 * SECOND);
     // then
     assertEquals(List.of(), cluster.violations());
-    // All machines are in one zone, so that the other replica, which is to be spread, waits.
+    // All machines are in one zone, so the second replica, which must be spread, stays pending.
     assertEquals(Map.of("a", 1), cluster.zones(CLAIMED));
   }
 
-  /** Each machine has a service of one task that leaves one of its four CPUs. */
-  private static SimulatedCluster fullMachines() {
+  /** Returns a cluster where a service with one task uses three of the four CPUs per machine. */
+  private static SimulatedCluster clusterWithFullMachines() {
     SimulatedCluster cluster =
         new SimulatedCluster(CONTROLLERS, 61, new ClusterScale(MACHINES, 0, 300, 150, VALUE_BYTES));
     cluster.taskDuration(500 * SECOND);
@@ -90,13 +97,13 @@
     }
     cluster.run(20 * SECOND);
     for (int shard = 0; shard < CONTROLLERS; shard++) {
-      assertTrue(cluster.hasRecordedAttempt(roomIn(shard), shard));
+      assertTrue(cluster.hasRecordedAttempt(placeholderIn(shard), shard));
     }
     return cluster;
   }
 
-  /** A service that occupies a machine of a shard. */
-  private static String roomIn(int shard) {
+  /** Returns the id of a service that occupies a machine of a shard. */
+  private static String placeholderIn(int shard) {
     return "req-room-" + shard;
   }
 
@@ -113,7 +120,7 @@
     assertEquals(1, segmentSplit(cluster));
   }
 
-  /** The segment of a service's record in the shard that is split first, by the first layout. */
+  /** Returns the segment of a service's record in the splitting shard, by the first layout. */
   private static String segmentOf(String job) {
     return "g/sl/" + SPLITTING + "/w" + Math.floorMod(job.hashCode(), 2);
   }
@@ -128,11 +135,11 @@
   }
 
   private static void await(SimulatedCluster cluster, String what, BooleanSupplier condition) {
-    for (long waited = 0; waited < 3 * SECOND; waited += STEP) {
+    for (long waitedMicros = 0; waitedMicros < 3 * SECOND; waitedMicros += STEP_MICROS) {
       if (condition.getAsBoolean()) {
         return;
       }
-      cluster.run(STEP);
+      cluster.run(STEP_MICROS);
     }
     assertTrue(condition.getAsBoolean(), what);
   }
--- a/src/test/java/gladeknot/app/SplitRandomFaultsTest.java
+++ b/src/test/java/gladeknot/app/SplitRandomFaultsTest.java
@@ -18,38 +18,41 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Small values of the state service, so that segments are split again and again as work comes,
- * while the watches of controllers lag by turns, the state service is slow for spells, tasks are
- * claimed, users cancel, and controllers end and return: each task stays in one slice, each slice
- * in one segment, and everything runs or ends afterwards. More seeds: {@code mvn test
+ * Random faults during repeated segment splits, which a low value size limit of the state service
+ * causes. Watches of controllers lag in turn, the state service is slow at times, tasks are
+ * claimed, users cancel jobs, and controllers end and return. Each task must stay in one slice and
+ * each slice in one segment, and every job must end afterwards. For more seeds: {@code mvn test
  * -Dtest=SplitRandomFaultsTest -Dgladeknot.seeds=FIRST,COUNT}.
  */
 class SplitRandomFaultsTest {
   private static final String SEEDS_PROPERTY = "gladeknot.seeds";
   private static final long FIRST_SEED = 1;
-  private static final long SEEDS = 36;
+  private static final long SEED_COUNT = 36;
   private static final int CONTROLLERS = 3;
   private static final int VALUE_BYTES = 640;
   private static final int STEPS = 80;
 
-  /** Many of these fill the segments. */
+  /** CPUs of a small task; many small tasks fill the segments. */
   private static final double SMALL_CPUS = 0.02;
 
-  private static final int MOST_SMALL_TASKS = 24;
+  private static final int MAX_SMALL_TASKS = 24;
 
-  /** These wait for room, without a record, and are claimed where there is some. */
+  /**
+   * CPUs of a large task. Large tasks are pending without a record until a shard that has capacity
+   * claims them.
+   */
   private static final double LARGE_CPUS = 2.5;
 
-  private static final int MOST_LARGE_TASKS = 4;
-  private static final int ROUNDS = 30;
-  private static final long MIN_STEP = SECOND / 20;
-  private static final long MAX_STEP = 13 * SECOND / 20;
-  private static final long SLOW_STATE = SECOND / 5;
+  private static final int MAX_LARGE_TASKS = 4;
+  private static final int MAX_SETTLE_ROUNDS = 30;
+  private static final long MIN_STEP_MICROS = SECOND / 20;
+  private static final long MAX_STEP_MICROS = 13 * SECOND / 20;
+  private static final long STATE_DELAY_MICROS = SECOND / 5;
 
   private static LongStream seeds() {
     String property = System.getProperty(SEEDS_PROPERTY, "");
     if (property.isEmpty()) {
-      return LongStream.range(FIRST_SEED, FIRST_SEED + SEEDS);
+      return LongStream.range(FIRST_SEED, FIRST_SEED + SEED_COUNT);
     }
     String[] range = property.split(",");
     long first = Long.parseLong(range[0]);
@@ -65,15 +68,15 @@
                     "seed " + seed, () -> new SplitRandomFaultsTest.Run(seed).play()));
   }
 
-  /** One seed. */
+  /** One run with one seed. */
   private static final class Run {
     private final SplittableRandom random;
     private final SimulatedCluster cluster;
     private final List<String> jobs = new ArrayList<>();
     private int submitted;
 
-    /** When a controller that has ended returns; 0 for one that is up. */
-    private final long[] returnsAt = new long[CONTROLLERS];
+    /** Time when each ended controller returns, in microseconds; 0 for a running controller. */
+    private final long[] returnMicros = new long[CONTROLLERS];
 
     Run(long seed) {
       random = new SplittableRandom(seed);
@@ -87,27 +90,27 @@
       cluster.run(4 * SECOND);
       // when
       for (int step = 0; step < STEPS; step++) {
-        submitSome();
-        cancelSome();
+        submitRandomJobs();
+        cancelRandomJobs();
         stepWithFaults();
       }
       endFaults();
       settle();
       // then
       assertEquals(List.of(), cluster.violations());
-      assertTrue(Json.num(cluster.state().get("g/format"), "split", 0) > 1, "nothing was split");
+      assertTrue(Json.num(cluster.state().get("g/format"), "split", 0) > 1, "no segment was split");
       for (String job : jobs) {
         String phase = cluster.phase(job);
         assertEquals("done", phase, job);
       }
     }
 
-    private void submitSome() {
+    private void submitRandomJobs() {
       for (int i = random.nextInt(5); i > 0; i--) {
         String id = "req-job" + submitted++;
         boolean small = random.nextBoolean();
         String shape = shape(small);
-        int tasks = 1 + random.nextInt(small ? MOST_SMALL_TASKS : MOST_LARGE_TASKS);
+        int tasks = 1 + random.nextInt(small ? MAX_SMALL_TASKS : MAX_LARGE_TASKS);
         Map<String, Object> job = TestJobs.job(id, shape, tasks);
         job.put("cores", small ? SMALL_CPUS : LARGE_CPUS);
         job.put("memoryGb", 0.01);
@@ -116,13 +119,13 @@
       }
     }
 
-    /** Gangs are small: large ones would wait for one another, for several machines each. */
+    /** Only small tasks form gangs: large gangs would wait for each other's machines. */
     private String shape(boolean small) {
       return List.of("service", "array", "service", small ? "ensemble" : "array")
           .get(random.nextInt(4));
     }
 
-    private void cancelSome() {
+    private void cancelRandomJobs() {
       for (int i = random.nextInt(3); i > 0 && !jobs.isEmpty(); i--) {
         String id = jobs.remove(random.nextInt(jobs.size()));
         cluster.cancel(random.nextInt(CONTROLLERS), id);
@@ -131,19 +134,19 @@
 
     private void stepWithFaults() {
       int current = random.nextInt(CONTROLLERS);
-      stallOthers(current, true);
-      cluster.faults().delayStateCalls(random.nextInt(4) == 0 ? SLOW_STATE : 0);
+      stallWatchesExcept(current, true);
+      cluster.faults().delayStateCalls(random.nextInt(4) == 0 ? STATE_DELAY_MICROS : 0);
       int ending = random.nextInt(CONTROLLERS);
-      if (random.nextInt(25) == 0 && returnsAt[ending] == 0) {
+      if (random.nextInt(25) == 0 && returnMicros[ending] == 0) {
         cluster.kill(ending);
-        returnsAt[ending] = cluster.now() + random.nextLong(SECOND / 5, 6 * SECOND);
+        returnMicros[ending] = cluster.now() + random.nextLong(SECOND / 5, 6 * SECOND);
       }
-      cluster.run(random.nextLong(MIN_STEP, MAX_STEP));
-      stallOthers(current, false);
-      startWhere(false);
+      cluster.run(random.nextLong(MIN_STEP_MICROS, MAX_STEP_MICROS));
+      stallWatchesExcept(current, false);
+      startEndedControllers(false);
     }
 
-    private void stallOthers(int current, boolean stalled) {
+    private void stallWatchesExcept(int current, boolean stalled) {
       for (int node = 0; node < CONTROLLERS; node++) {
         if (node != current) {
           cluster.faults().stallWatch(node, stalled);
@@ -151,25 +154,25 @@
       }
     }
 
-    private void startWhere(boolean all) {
+    private void startEndedControllers(boolean all) {
       for (int node = 0; node < CONTROLLERS; node++) {
-        if (returnsAt[node] != 0 && (all || returnsAt[node] <= cluster.now())) {
+        if (returnMicros[node] != 0 && (all || returnMicros[node] <= cluster.now())) {
           cluster.start(node);
-          returnsAt[node] = 0;
+          returnMicros[node] = 0;
         }
       }
     }
 
     private void endFaults() {
       cluster.faults().delayStateCalls(0);
-      startWhere(true);
+      startEndedControllers(true);
       cluster.taskDuration(2 * SECOND);
       cluster.startPolling();
       cluster.expectRecovery();
     }
 
     private void settle() {
-      for (int i = 0; i < ROUNDS && !settled(); i++) {
+      for (int i = 0; i < MAX_SETTLE_ROUNDS && !settled(); i++) {
         cluster.run(5 * SECOND);
       }
     }
--- a/src/test/java/gladeknot/app/SpotReclaimsTest.java
+++ b/src/test/java/gladeknot/app/SpotReclaimsTest.java
@@ -11,27 +11,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tasks on machines that are taken back go on elsewhere without waiting for their leases. */
+/** Tasks on reclaimed spot machines restart elsewhere without waiting for their leases. */
 class SpotReclaimsTest {
   private static final int TASKS = 16;
 
-  /** Tasks that can't end in time leave at once, a gang at the last moment. */
+  /** Tasks that can't end before the reclaim leave at once; a gang leaves at the last moment. */
   @ParameterizedTest
   @CsvSource({"array, 60, 6", "ensemble, 60, 14"})
-  void tasksLeaveBeforeTheMachineGoes(String shape, int runS, int leftWithinS) {
+  void tasksLeaveBeforeMachineIsReclaimed(String shape, int runSeconds, int leaveWithinSeconds) {
     SimulatedCluster cluster = new SimulatedCluster(3, 51);
-    cluster.taskDuration(runS * SECOND);
+    cluster.taskDuration(runSeconds * SECOND);
     cluster.run(3 * SECOND);
     int tasks = shape.equals("array") ? TASKS : 3;
     var job = TestJobs.job("req-long", shape, tasks);
-    job.put("guessS", (double) runS);
+    job.put("guessS", (double) runSeconds);
     job.put("dueS", null);
     cluster.submit(0, job);
     cluster.run(15 * SECOND);
     assertEquals(tasks, cluster.tasksOnMachines());
     String host = cluster.hosts("req-long").iterator().next();
     cluster.machineFaults().reclaim(host, 12 * SECOND);
-    cluster.run(leftWithinS * SECOND);
+    cluster.run(leaveWithinSeconds * SECOND);
     assertTrue(!cluster.hosts("req-long").contains(host), "still on " + host);
     cluster.run(LEASE / 2);
     assertEquals(tasks, cluster.tasksOnMachines());
--- a/src/test/java/gladeknot/app/StateServiceFaultsTest.java
+++ b/src/test/java/gladeknot/app/StateServiceFaultsTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Faults of the state service, together with changes of owner and cancellations. */
+/** Faults of the state service, combined with ownership transfers and cancellations. */
 class StateServiceFaultsTest {
   private static final List<Case> CASES =
       List.of(
           new Case(
-              "transactions without an answer are carried out after newer ones",
+              "unanswered transactions are applied after newer ones",
               4,
               cluster -> {
                 cluster.faults().lateCommitShare(0.3);
@@ -30,14 +30,20 @@
                 cluster.run(12 * SECOND);
               }),
           new Case(
-              "the gap: refused alone, then an outage for all",
+              "one controller is refused, then an outage for all",
               10,
-              cluster -> gap(cluster, 0, 2, 60)),
+              cluster -> refuseThenOutage(cluster, 0, 2, 60)),
           new Case(
-              "the gap, an owner refused just before", 11, cluster -> gap(cluster, 1, 0.3, 40)),
-          new Case("the gap with five controllers", 5, 12, cluster -> gap(cluster, 3, 8, 33)),
+              "one controller is refused just before an outage for all",
+              11,
+              cluster -> refuseThenOutage(cluster, 1, 0.3, 40)),
           new Case(
-              "the state service answers slowly, refuses one and then all, while users cancel",
+              "one of five controllers is refused, then an outage for all",
+              5,
+              12,
+              cluster -> refuseThenOutage(cluster, 3, 8, 33)),
+          new Case(
+              "the state service is slow, refuses one controller, then all, while users cancel",
               19,
               cluster -> {
                 cluster.faults().delayStateCalls(900_000);
@@ -54,7 +60,7 @@
                 cluster.faults().delayStateCalls(0);
               }),
           new Case(
-              "a former life's writes are carried out late, over and over",
+              "writes of an earlier incarnation are applied late, repeatedly",
               21,
               cluster -> {
                 for (int i = 0; i < 8; i++) {
@@ -69,26 +75,30 @@
               }));
 
   @TestFactory
-  Stream<DynamicTest> noRuleBreaksAndNothingIsForgotten() {
+  Stream<DynamicTest> invariantsHoldAndJobsSettle() {
     return FaultScenarios.tests(CASES);
   }
 
-  private static void gap(SimulatedCluster cluster, int refused, double before, long outageS) {
-    cluster.faults().rejectStateCalls(refused, true);
-    int other = (refused + 1) % 3;
+  private static void refuseThenOutage(
+      SimulatedCluster cluster, int refusedNode, double secondsBeforeOutage, long outageSeconds) {
+    cluster.faults().rejectStateCalls(refusedNode, true);
+    int cancellingNode = (refusedNode + 1) % 3;
     cluster.run(200_000);
-    cluster.cancel(other, "req-cut");
-    cluster.run((long) (before * 1e6));
+    cluster.cancel(cancellingNode, "req-cut");
+    cluster.run((long) (secondsBeforeOutage * 1e6));
     cluster.faults().stateOutage(true);
     cluster.run(5 * SECOND);
-    cluster.faults().rejectStateCalls(refused, false);
-    cluster.run(outageS * SECOND);
+    cluster.faults().rejectStateCalls(refusedNode, false);
+    cluster.run(outageSeconds * SECOND);
     cluster.faults().stateOutage(false);
   }
 
-  /** An owner that lost the state service sends no start whose job may be cancelled by now. */
+  /**
+   * An owner that lost the state service must not send committed starts, because their job may have
+   * been cancelled meanwhile.
+   */
   @Test
-  void committedStartsAreNotSentByAnOldCopy() {
+  void committedStartsAreNotSentFromStaleCache() {
     // given
     SimulatedCluster cluster = FaultScenarios.clusterWithService(32);
     cluster.submit(0, TestJobs.job("req-cut", "service", 6));
@@ -115,11 +125,11 @@
   }
 
   /**
-   * A request that conflicts with a change the controller's copy does not receive is refused, not
-   * kept.
+   * A request that conflicts with a change missing from the controller's cache is refused with 503
+   * rather than held until the stalled watch delivers that change.
    */
   @Test
-  void aRequestDoesNotWaitForAWatchThatHangs() {
+  void conflictingRequestIsRefusedWhileWatchIsStalled() {
     // given
     SimulatedCluster cluster = FaultScenarios.clusterWithService(34);
     cluster.faults().stallWatch(2, true);
--- a/src/test/java/gladeknot/app/TransactionSizeTest.java
+++ b/src/test/java/gladeknot/app/TransactionSizeTest.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Transactions and values stay within what the state service takes. */
+/** Transactions and values stay within the size limits of the state service. */
 class TransactionSizeTest {
-  /** A claim from a part that is full must not make it larger than the service takes. */
+  /** A claim of tasks in a full segment must not grow that segment beyond the value limit. */
   @Test
-  void claimsLeaveFullPartsAlone() {
+  void claimsDoNotOverfillSegments() {
     // given
     SimulatedCluster cluster =
         new SimulatedCluster(3, 38, new ClusterScale(30, 120_000, 300, 150, 1400));
@@ -40,9 +40,9 @@
     }
   }
 
-  /** Much begins at once after an outage: transactions stay within what the service takes. */
+  /** Many tasks start at once after an outage; transactions must stay within the size limit. */
   @Test
-  void transactionsStayWithinTheirSizeAfterAnOutage() {
+  void transactionsStayWithinSizeLimitAfterOutage() {
     // given
     SimulatedCluster cluster = new SimulatedCluster(3, 33, new ClusterScale(90, 360_000, 300, 150));
     cluster.taskDuration(300 * SECOND);
@@ -59,7 +59,7 @@
     cluster.run(40 * SECOND);
     // then
     assertEquals(0, cluster.state().rejectedForSize());
-    assertTrue(cluster.tasksOnMachines() > 250, "only " + cluster.tasksOnMachines());
+    assertTrue(cluster.tasksOnMachines() > 250, "tasks on machines: " + cluster.tasksOnMachines());
     assertEquals(List.of(), cluster.violations());
   }
 }
--- a/src/test/java/gladeknot/app/UnlimitedTeamTest.java
+++ b/src/test/java/gladeknot/app/UnlimitedTeamTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Five controllers that share few writes and one team whose limits are 0, which means that it has
- * none: the rules hold and the work gets done, also under two faults at once.
+ * Five controllers with a low shared write rate and one team without limits (a limit of 0 means
+ * none). The invariants hold and all jobs complete, also under two faults at once.
  */
 class UnlimitedTeamTest {
   private static final int CONTROLLERS = 5;
@@ -50,7 +50,7 @@
                 restartAll(cluster, 6 * SECOND);
               }),
           new Case(
-              "a slow state service while a controller is cut from it",
+              "a slow state service while a controller is disconnected from it",
               4,
               cluster -> {
                 cluster.faults().delayStateCalls(60_000);
@@ -85,20 +85,20 @@
   }
 
   @TestFactory
-  Stream<DynamicTest> rulesHoldAndWorkGetsDone() {
+  Stream<DynamicTest> invariantsHoldAndJobsComplete() {
     return CASES.stream()
         .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
   }
 
-  private static void play(Case played) {
-    SimulatedCluster cluster = new SimulatedCluster(CONTROLLERS, played.seed(), SCALE);
+  private static void play(Case testCase) {
+    SimulatedCluster cluster = new SimulatedCluster(CONTROLLERS, testCase.seed(), SCALE);
     cluster.startPolling();
     cluster.run(3 * SECOND);
     cluster.submit(0, TestJobs.job("req-array", "array", 60));
     cluster.submit(1, TestJobs.job("req-gang", "ensemble", 3));
     cluster.submit(2, TestJobs.job("req-web", "service", 4));
     cluster.run(12 * SECOND);
-    played.faults().accept(cluster);
+    testCase.faults().accept(cluster);
     cluster.expectRecovery();
     cluster.run(100 * SECOND);
     assertEquals(List.of(), cluster.violations());
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void everyMachineMayBeUsedByTheOneTeam() {
+  void unlimitedTeamCanUseAllMachines() {
     SimulatedCluster cluster = new SimulatedCluster(CONTROLLERS, 9, SCALE);
     cluster.run(3 * SECOND);
     cluster.submit(0, TestJobs.job("req-web", "service", 4 * MACHINES));
--- a/src/test/java/gladeknot/app/UpgradeTest.java
+++ b/src/test/java/gladeknot/app/UpgradeTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Controllers are replaced by this version one after the other while jobs run, and the state
- * service lowers its limits. The checker refuses what the first version could not read before all
- * run this one; in the end every record fits the lower limits, and all jobs are served.
+ * Rolling upgrades from the first version to this one while jobs run and the state service lowers
+ * its limits. Until all controllers run this version, the checker rejects records that the first
+ * version can't read. In the end every record fits the lower limits, and all jobs run or are done.
  */
 class UpgradeTest {
   private static final int NODES = 3;
@@ -30,8 +30,11 @@
   private static final int NEXT_VALUE_BYTES = 640;
   private static final int NEXT_OPERATIONS = 4;
 
-  /** Transactions that may be refused while the limits fall unseen. */
-  private static final int MAX_REFUSED = 6;
+  /**
+   * Maximum number of transactions that the state service may reject between the lowering of its
+   * limits and the time when the controllers learn of them.
+   */
+  private static final int MAX_REJECTED = 6;
 
   private static final ClusterScale SCALE =
       new ClusterScale(
@@ -39,7 +42,7 @@
 
   private record Case(String name, Consumer<SimulatedCluster> upgrade) {}
 
-  private static void replace(SimulatedCluster cluster, int... nodes) {
+  private static void upgradeControllers(SimulatedCluster cluster, int... nodes) {
     for (int node : nodes) {
       cluster.kill(node);
     }
@@ -56,24 +59,24 @@
           new Case(
               "one after the other, limits lowered much later",
               cluster -> {
-                replace(cluster, 0);
-                replace(cluster, 1);
-                replace(cluster, 2);
+                upgradeControllers(cluster, 0);
+                upgradeControllers(cluster, 1);
+                upgradeControllers(cluster, 2);
                 cluster.run(20 * SECOND);
                 cluster.lowerLimits();
               }),
           new Case(
-              "backwards, limits lowered as the last is back",
+              "in reverse order, limits lowered once the last has returned",
               cluster -> {
-                replace(cluster, 2);
-                replace(cluster, 1);
-                replace(cluster, 0);
+                upgradeControllers(cluster, 2);
+                upgradeControllers(cluster, 1);
+                upgradeControllers(cluster, 0);
                 cluster.lowerLimits();
               }),
           new Case(
               "all at once, limits lowered while records move",
               cluster -> {
-                replace(cluster, 0, 1, 2);
+                upgradeControllers(cluster, 0, 1, 2);
                 for (int i = 0; cluster.state().get("g/format") == null && i < 300; i++) {
                   cluster.run(SECOND / 10);
                 }
@@ -83,28 +86,28 @@
           new Case(
               "limits lowered before the last is replaced",
               cluster -> {
-                replace(cluster, 0, 1);
+                upgradeControllers(cluster, 0, 1);
                 cluster.lowerLimits();
                 cluster.run(10 * SECOND);
-                replace(cluster, 2);
+                upgradeControllers(cluster, 2);
               }),
           new Case(
-              "a death before its turn, coming back old",
+              "a controller restarts with the first version before its turn",
               cluster -> {
-                replace(cluster, 0);
+                upgradeControllers(cluster, 0);
                 cluster.kill(1);
                 cluster.run(2 * SECOND);
                 cluster.start(1);
                 cluster.run(6 * SECOND);
-                replace(cluster, 2);
-                replace(cluster, 1);
+                upgradeControllers(cluster, 2);
+                upgradeControllers(cluster, 1);
                 cluster.run(3 * SECOND);
                 cluster.lowerLimits();
               }),
           new Case(
-              "all end midway",
+              "all controllers end midway through the upgrade",
               cluster -> {
-                replace(cluster, 0);
+                upgradeControllers(cluster, 0);
                 cluster.kill(0);
                 cluster.kill(1);
                 cluster.kill(2);
@@ -113,20 +116,20 @@
                 cluster.start(1);
                 cluster.start(2);
                 cluster.run(6 * SECOND);
-                replace(cluster, 1);
-                replace(cluster, 2);
+                upgradeControllers(cluster, 1);
+                upgradeControllers(cluster, 2);
                 cluster.run(SECOND);
                 cluster.lowerLimits();
               }),
           new Case(
-              "an outage midway, and late transactions",
+              "an outage midway through the upgrade, and late transactions",
               cluster -> {
                 cluster.faults().lateCommitShare(0.2);
-                replace(cluster, 0, 1);
+                upgradeControllers(cluster, 0, 1);
                 cluster.faults().stateOutage(true);
                 cluster.run(15 * SECOND);
                 cluster.faults().stateOutage(false);
-                replace(cluster, 2);
+                upgradeControllers(cluster, 2);
                 cluster.run(10 * SECOND);
                 cluster.faults().lateCommitShare(0);
                 cluster.lowerLimits();
@@ -134,7 +137,7 @@
           new Case(
               "a controller ends while records move",
               cluster -> {
-                replace(cluster, 0, 1, 2);
+                upgradeControllers(cluster, 0, 1, 2);
                 for (int i = 0; cluster.state().get("g/format") == null && i < 300; i++) {
                   cluster.run(SECOND / 10);
                 }
@@ -146,12 +149,12 @@
               }));
 
   @TestFactory
-  Stream<DynamicTest> rulesHold() {
+  Stream<DynamicTest> invariantsHoldAndRecordsFitLimits() {
     return CASES.stream()
         .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
   }
 
-  private static SimulatedCluster oldCluster(long seed) {
+  private static SimulatedCluster firstVersionCluster(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(NODES, seed, SCALE);
     for (int i = 0; i < NODES; i++) {
       cluster.impersonateFirstVersion(i, true);
@@ -166,7 +169,7 @@
       cluster.submit(i % NODES, job("req-old-" + i, "array", 12));
     }
     cluster.run(30 * SECOND);
-    // Parts that will have to be split, or the rows would show little.
+    // Without a segment that has to be split the cases would test little.
     assertTrue(
         cluster.state().keys("g/sl/").stream()
             .anyMatch(key -> Json.bytes(cluster.state().get(key)).length > NEXT_VALUE_BYTES));
@@ -174,7 +177,7 @@
   }
 
   private static void play(Case testCase) {
-    SimulatedCluster cluster = oldCluster(41);
+    SimulatedCluster cluster = firstVersionCluster(41);
     assertNull(cluster.state().get("g/format"));
     testCase.upgrade().accept(cluster);
     cluster.run(10 * SECOND);
@@ -186,36 +189,36 @@
     cluster.expectRecovery();
     cluster.run(120 * SECOND);
     assertEquals(List.of(), cluster.violations());
-    assertTrue(cluster.state().get("g/format") != null, "no mark");
+    assertTrue(cluster.state().get("g/format") != null, "no storage format");
     for (String id : cluster.jobs()) {
       assertEquals(id.startsWith("req-web") ? "running" : "done", cluster.phase(id), id);
     }
     assertEquals(SERVICES * REPLICAS + 5, cluster.tasksOnMachines());
     for (String key : cluster.state().keys("g/")) {
       int bytes = Json.bytes(cluster.state().get(key)).length;
-      assertTrue(bytes <= NEXT_VALUE_BYTES, key + " has " + bytes);
-      assertTrue(!key.matches("g/sl/[0-9]+/[aw][0-9]"), key + " is left");
+      assertTrue(bytes <= NEXT_VALUE_BYTES, key + " has bytes: " + bytes);
+      assertTrue(!key.matches("g/sl/[0-9]+/[aw][0-9]"), key + " belongs to the former layout");
     }
     assertTrue(
-        cluster.state().rejectedForSize() <= MAX_REFUSED,
-        cluster.state().rejectedForSize() + " refused");
+        cluster.state().rejectedForSize() <= MAX_REJECTED,
+        cluster.state().rejectedForSize() + " transactions rejected");
   }
 
   @Test
-  void noMarkWhileOneIsAwayOrOld() {
-    SimulatedCluster cluster = oldCluster(42);
-    replace(cluster, 0);
-    replace(cluster, 1);
+  void noStorageFormatWhileAControllerIsDownOrOld() {
+    SimulatedCluster cluster = firstVersionCluster(42);
+    upgradeControllers(cluster, 0);
+    upgradeControllers(cluster, 1);
     cluster.kill(2);
     cluster.run(40 * SECOND);
     assertNull(cluster.state().get("g/format"));
     cluster.start(2);
     cluster.run(20 * SECOND);
     assertNull(cluster.state().get("g/format"));
-    replace(cluster, 2);
+    upgradeControllers(cluster, 2);
     cluster.run(5 * SECOND);
-    Map<String, Object> mark = cluster.state().get("g/format");
-    assertEquals(4L, Json.num(mark, "split", 0));
+    Map<String, Object> format = cluster.state().get("g/format");
+    assertEquals(4L, Json.num(format, "split", 0));
     assertEquals(List.of(), cluster.violations());
   }
 }
