--- a/src/test/java/gladeknot/app/CheckerTest.java
+++ b/src/test/java/gladeknot/app/CheckerTest.java
@@ -109,10 +109,10 @@
     return CASES.stream()
         .map(
             testCase ->
-                DynamicTest.dynamicTest(testCase.expectedViolation(), () -> play(testCase)));
+                DynamicTest.dynamicTest(testCase.expectedViolation(), () -> runCase(testCase)));
   }
 
-  private static void play(Case testCase) {
+  private static void runCase(Case testCase) {
     SimulatedCluster cluster = new SimulatedCluster(3, 7);
     cluster.startPolling();
     cluster.run(3 * SECOND);
--- a/src/test/java/gladeknot/app/LoadTest.java
+++ b/src/test/java/gladeknot/app/LoadTest.java
@@ -24,7 +24,7 @@
     SimulatedCluster cluster = new SimulatedCluster(3, 31);
     cluster.run(3 * SECOND);
     int submitted = 0;
-    // Above the team's limit of 24 tasks at once: 6 tasks of 6 s are submitted each second.
+    // The team's limit of 24 tasks of 6 s at once allows 4 per second; 6 per second are submitted.
     for (int second = 0; second < 15; second++) {
       cluster.submit(submitted % 3, TestJobs.job("req-small-" + submitted++, "array", 6));
       cluster.run(SECOND);
@@ -42,7 +42,8 @@
 
   /**
    * Start commands are sent in heartbeat responses only. The response to an idle machine is held
-   * back so that a start decided meanwhile does not wait for the next heartbeat.
+   * long enough for a start that is decided meanwhile, so that urgent jobs need not wait for the
+   * next heartbeat.
    */
   @Test
   void startsReachIdleMachinesBeforeNextHeartbeat() {
@@ -74,8 +75,7 @@
   void writesPerTaskDoNotGrowWithMachineCount() {
     double small = writesPerTask(12);
     double large = writesPerTask(120);
-    assertTrue(
-        large <= small, "writes per task: " + small + " on 12 machines, " + large + " on 120");
+    assertTrue(large <= small, small + " writes per task on 12 machines, on 120: " + large);
     // Far below one write per start and one per end.
     assertTrue(large < 0.7, large + " writes per task");
   }
--- a/src/test/java/gladeknot/app/OwnershipFaultsTest.java
+++ b/src/test/java/gladeknot/app/OwnershipFaultsTest.java
@@ -19,7 +19,7 @@
   private static final List<Case> CASES =
       List.of(
           new Case(
-              "tasks of small jobs end far apart across ownership transfers",
+              "jobs of two or three tasks end far apart across ownership transfers",
               7,
               cluster -> {
                 cluster.submit(0, TestJobs.job("req-far1", "array", 3));
@@ -59,7 +59,7 @@
                 cluster.start(0, 1, 2);
               }),
           new Case(
-              "shards are taken over and relinquished, all controllers end, some return within a second",
+              "failover and back, all controllers end, one returns, also within a second",
               15,
               cluster -> {
                 cluster.kill(0);
@@ -132,8 +132,7 @@
     cluster.kill(0);
     cluster.run(SECOND);
     cluster.cancel(1, "req-cut");
-    // Node 0's lease lasts twice as long, so its shard is not taken over yet and its workers run
-    // on.
+    // Node 0's lease lasts twice as long: its shard is not taken over yet, and its workers run on.
     cluster.run(6 * SECOND);
     // then
     assertEquals(Map.of(), cluster.zones("req-cut"));
--- a/src/test/java/gladeknot/app/QuotaLimitsTest.java
+++ b/src/test/java/gladeknot/app/QuotaLimitsTest.java
@@ -69,10 +69,10 @@
   @TestFactory
   Stream<DynamicTest> changedLimitIsEnforced() {
     return LIMITS.stream()
-        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
+        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> runCase(testCase)));
   }
 
-  private static void play(LimitCase testCase) {
+  private static void runCase(LimitCase testCase) {
     // given
     SimulatedCluster cluster = busyCluster(testCase.limitBefore());
     // when
@@ -97,10 +97,10 @@
   @TestFactory
   Stream<DynamicTest> malformedRecordIsCorrectedAndStartsStayWithinLimit() {
     return RECORDS.stream()
-        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
+        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> runCase(testCase)));
   }
 
-  private static void play(RecordCase testCase) {
+  private static void runCase(RecordCase testCase) {
     // given
     SimulatedCluster cluster = busyCluster(24);
     // when
--- a/src/test/java/gladeknot/app/SimulatedClusterTest.java
+++ b/src/test/java/gladeknot/app/SimulatedClusterTest.java
@@ -294,10 +294,10 @@
   @TestFactory
   Stream<DynamicTest> invariantsHoldAndJobsComplete() {
     return CASES.stream()
-        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
+        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> runCase(testCase)));
   }
 
-  private static void play(Case testCase) {
+  private static void runCase(Case testCase) {
     SimulatedCluster cluster = new SimulatedCluster(3, testCase.seed());
     cluster.run(3 * SECOND);
     cluster.submit(0, TestJobs.job("req-array", "array", 40));
--- a/src/test/java/gladeknot/app/SplitRandomFaultsTest.java
+++ b/src/test/java/gladeknot/app/SplitRandomFaultsTest.java
@@ -65,7 +65,7 @@
         .mapToObj(
             seed ->
                 DynamicTest.dynamicTest(
-                    "seed " + seed, () -> new SplitRandomFaultsTest.Run(seed).play()));
+                    "seed " + seed, () -> new SplitRandomFaultsTest.Run(seed).execute()));
   }
 
   /** One run with one seed. */
@@ -84,7 +84,7 @@
           new SimulatedCluster(CONTROLLERS, seed, new ClusterScale(12, 0, 300, 150, VALUE_BYTES));
     }
 
-    void play() {
+    void execute() {
       // given
       cluster.taskDuration(8 * SECOND);
       cluster.run(4 * SECOND);
@@ -119,7 +119,10 @@
       }
     }
 
-    /** Only small tasks form gangs: large gangs would wait for each other's machines. */
+    /**
+     * Returns a random shape. Only small tasks form gangs: gangs of large tasks would need several
+     * machines each and wait for each other.
+     */
     private String shape(boolean small) {
       return List.of("service", "array", "service", small ? "ensemble" : "array")
           .get(random.nextInt(4));
--- a/src/test/java/gladeknot/app/UnlimitedTeamTest.java
+++ b/src/test/java/gladeknot/app/UnlimitedTeamTest.java
@@ -87,10 +87,10 @@
   @TestFactory
   Stream<DynamicTest> invariantsHoldAndJobsComplete() {
     return CASES.stream()
-        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
+        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> runCase(testCase)));
   }
 
-  private static void play(Case testCase) {
+  private static void runCase(Case testCase) {
     SimulatedCluster cluster = new SimulatedCluster(CONTROLLERS, testCase.seed(), SCALE);
     cluster.startPolling();
     cluster.run(3 * SECOND);
--- a/src/test/java/gladeknot/app/UpgradeTest.java
+++ b/src/test/java/gladeknot/app/UpgradeTest.java
@@ -151,7 +151,7 @@
   @TestFactory
   Stream<DynamicTest> invariantsHoldAndRecordsFitLimits() {
     return CASES.stream()
-        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> play(testCase)));
+        .map(testCase -> DynamicTest.dynamicTest(testCase.name(), () -> runCase(testCase)));
   }
 
   private static SimulatedCluster firstVersionCluster(long seed) {
@@ -176,7 +176,7 @@
     return cluster;
   }
 
-  private static void play(Case testCase) {
+  private static void runCase(Case testCase) {
     SimulatedCluster cluster = firstVersionCluster(41);
     assertNull(cluster.state().get("g/format"));
     testCase.upgrade().accept(cluster);
