--- a/src/test/java/gladeknot/app/HandOverFaultsTest.java
+++ b/src/test/java/gladeknot/app/HandOverFaultsTest.java
@@ -27,8 +27,8 @@
  * <ol>
  *   <li>Controller A owns shard 0 after a failover and commits starts in it. The answer to A's
  *       transaction and A's watch are both late.
- *   <li>A relinquishes shard 0. The answer to that transaction arrives first, and A reloads the
- *       slices of shard 0 from a cache that lacks the starts.
+ *   <li>A relinquishes shard 0 to its home controller. The answer to that transaction arrives
+ *       first, and A reloads the slices of shard 0 from a cache that lacks the starts.
  *   <li>The late answer arrives. A marks the segment as loaded with the content that it wrote, so
  *       the slices are never reloaded with the starts.
  *   <li>In A's slices the started tasks are pending, while its cache holds the newest revision of
@@ -37,7 +37,7 @@
  * </ol>
  *
  * <p>Cause: the outcome of a transaction was applied to slices that had been reloaded after the
- * transaction was sent. In the log, A starts tasks of a shard, releases the shard, and then claims
+ * transaction was sent. In the log, A starts tasks of a shard after releasing it, and then claims
  * the same tasks.
  */
 class HandOverFaultsTest {
