--- a/src/main/java/gladeknot/connectivity/ReachReporter.java
+++ b/src/main/java/gladeknot/connectivity/ReachabilityReporter.java
@@ -2,15 +2,15 @@
 
 import gladeknot.outbox.Outbox;
 import gladeknot.peer.PeerMessage;
-import gladeknot.peer.PeerReach;
-import gladeknot.peer.PeerReach.ShardContact;
-import gladeknot.peer.PeerReach.ZoneReach;
+import gladeknot.peer.PeerReachability;
+import gladeknot.peer.PeerReachability.ShardContact;
+import gladeknot.peer.PeerReachability.ZoneReachability;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reports to the other controllers what this one reaches, and what it offers and accepts. */
-final class ReachReporter {
+/** Reports this controller's reachability, offers and acceptances to the other controllers. */
+final class ReachabilityReporter {
   private final String node;
   private final Outbox outbox;
   private final LinkTable links;
@@ -20,7 +20,7 @@
   private final long intervalMicros;
   private long nextReportMicros;
 
-  ReachReporter(
+  ReachabilityReporter(
       String node,
       Outbox outbox,
       LinkTable links,
@@ -37,7 +37,7 @@
     this.intervalMicros = intervalMicros;
   }
 
-  /** Whether the interval since the last report is over. */
+  /** Returns whether the next report is due. */
   boolean isDue(long nowMicros) {
     return nowMicros >= nextReportMicros;
   }
@@ -45,9 +45,9 @@
   /** Sends a report now. */
   void report(long nowMicros) {
     nextReportMicros = nowMicros + intervalMicros;
-    PeerReach reach =
-        new PeerReach(
-            peers.life(),
+    PeerReachability reachability =
+        new PeerReachability(
+            peers.processStartMicros(),
             peers.nextSequence(),
             links.steady(LinkId.STATE),
             peers.observations(),
@@ -55,31 +55,31 @@
             contacts(),
             offers.offers(),
             offers.accepts());
-    outbox.sendToPeers(PeerMessage.ofReach(node, reach));
+    outbox.sendToPeers(PeerMessage.ofReachability(node, reachability));
   }
 
-  /** How well this controller reaches the workers of a shard, from 0 to 100. */
+  /** Returns how well this controller reaches the workers of a shard, from 0 to 100. */
   int score(int shard, Map<String, Integer> workersByZone) {
-    return ReachScore.of(workersByZone, zones(), contacts(), shard);
+    return ReachabilityScore.of(workersByZone, zones(), contacts(), shard);
   }
 
-  private List<ZoneReach> zones() {
+  private List<ZoneReachability> zones() {
     Map<String, Integer> percents = new TreeMap<>();
-    for (LinkTable.DirectionState state : links.all()) {
+    for (LinkTable.DirectionState state : links.directionStates()) {
       if (state.link().kind() == LinkId.Kind.WORKERS) {
-        percents.merge(state.link().name(), ReachScore.of(state.verdict()), Math::min);
+        percents.merge(state.link().name(), ReachabilityScore.of(state.verdict()), Math::min);
       }
     }
     return percents.entrySet().stream()
-        .limit(PeerReach.MAX_ENTRIES)
-        .map(zone -> new ZoneReach(zone.getKey(), zone.getValue()))
+        .limit(PeerReachability.MAX_ENTRIES)
+        .map(entry -> new ZoneReachability(entry.getKey(), entry.getValue()))
         .toList();
   }
 
   private List<ShardContact> contacts() {
     return workers.remoteContacts().entrySet().stream()
-        .limit(PeerReach.MAX_ENTRIES)
-        .map(shard -> new ShardContact(shard.getKey(), shard.getValue()))
+        .limit(PeerReachability.MAX_ENTRIES)
+        .map(entry -> new ShardContact(entry.getKey(), entry.getValue()))
         .toList();
   }
 }
--- a/src/main/java/gladeknot/membership/Membership.java
+++ b/src/main/java/gladeknot/membership/Membership.java
@@ -125,7 +125,7 @@
   }
 
   @Override
-  public boolean copyLoaded() {
+  public boolean cacheLoaded() {
     return stateStore.loaded();
   }
 
@@ -135,7 +135,7 @@
    * little, because nothing is committed while the state service does not answer.
    */
   @Override
-  public boolean copyFresh() {
+  public boolean cacheFresh() {
     long ageMicros = nowMicros - stateStore.currentAsOfMicros();
     return ageMicros < times.stateLeaseMicros() / FRESH_LEASE_DIVISOR;
   }
--- a/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineCapacity.java
@@ -61,7 +61,7 @@
     // A machine that should have booted by now but runs no task while tasks are pending does not
     // count: the pending tasks can't use it.
     boolean booting =
-        wallMicros - worker.launchedWallMicros() < BOOT_TIME_FACTOR * type.readyMicros();
+        wallMicros - worker.launchedWallMicros() < BOOT_TIME_FACTOR * type.bootMicros();
     if (booting || !worker.attempts().isEmpty()) {
       add(type, type.cpus(), type.gpus());
     }
--- a/src/test/java/gladeknot/peer/PeerMessageTest.java
+++ b/src/test/java/gladeknot/peer/PeerMessageTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import gladeknot.peer.PeerReach.Heard;
-import gladeknot.peer.PeerReach.ShardOffer;
-import gladeknot.peer.PeerReach.ZoneReach;
+import gladeknot.peer.PeerReachability.Observation;
+import gladeknot.peer.PeerReachability.ShardOffer;
+import gladeknot.peer.PeerReachability.ZoneReachability;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.Collections;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class PeerMessageTest {
-  private static final PeerMessage HINT =
+  private static final PeerMessage DEFICITS =
       new PeerMessage(
           "node-1",
           2,
@@ -23,80 +23,87 @@
           List.of("req-a", "req-b"),
           Optional.empty());
 
-  private static final PeerMessage REACH =
-      PeerMessage.ofReach(
+  private static final PeerMessage REACHABILITY =
+      PeerMessage.ofReachability(
           "node-1",
-          new PeerReach(
+          new PeerReachability(
               5,
               8,
               true,
-              List.of(new PeerReach.Heard("node-1", "node-0", 4, 7)),
-              List.of(new PeerReach.ZoneReach("a", 75)),
-              List.of(new PeerReach.ShardContact(0, 3)),
-              List.of(new PeerReach.ShardOffer(1, 4, 9, "node-2", true)),
-              List.of(new PeerReach.ShardAccept(2, 11, "node-0"))));
+              List.of(new PeerReachability.Observation("node-1", "node-0", 4, 7)),
+              List.of(new PeerReachability.ZoneReachability("a", 75)),
+              List.of(new PeerReachability.ShardContact(0, 3)),
+              List.of(new PeerReachability.ShardOffer(1, 4, 9, "node-2", true)),
+              List.of(new PeerReachability.ShardAccept(2, 11, "node-0"))));
 
   @Test
-  void comesBackAsItWasSent() throws IOException {
-    assertEquals(HINT, PeerMessage.decode(HINT.encode()));
-    assertEquals(REACH, PeerMessage.decode(REACH.encode()));
+  void messageSurvivesRoundTrip() throws IOException {
+    assertEquals(DEFICITS, PeerMessage.decode(DEFICITS.encode()));
+    assertEquals(REACHABILITY, PeerMessage.decode(REACHABILITY.encode()));
   }
 
   @Test
-  void garbledRecordsAreRefused() {
-    refused(HINT.encode());
-    refused(REACH.encode());
+  void malformedRecordsAreRejected() {
+    assertMalformedRejected(DEFICITS.encode());
+    assertMalformedRejected(REACHABILITY.encode());
   }
 
-  private static PeerReach reach(
-      long sequence, List<Heard> heard, List<ZoneReach> zones, List<ShardOffer> offers) {
-    return new PeerReach(5, sequence, true, heard, zones, List.of(), offers, List.of());
+  private static PeerReachability reachability(
+      long sequence,
+      List<Observation> observations,
+      List<ZoneReachability> zones,
+      List<ShardOffer> offers) {
+    return new PeerReachability(
+        5, sequence, true, observations, zones, List.of(), offers, List.of());
   }
 
-  /** The values of a record are within their ranges, or it is refused whole. */
+  /** A record with any value out of range is rejected as a whole. */
   @Test
-  void valuesOutOfRangeAreRefused() {
-    Heard row = new Heard("node-1", "node-0", 4, 7);
-    List<Heard> tooMany = Collections.nCopies(PeerReach.MAX_ENTRIES + 1, row);
-    List<PeerReach> wrong =
+  void valuesOutOfRangeAreRejected() {
+    Observation row = new Observation("node-1", "node-0", 4, 7);
+    List<Observation> tooMany = Collections.nCopies(PeerReachability.MAX_ENTRIES + 1, row);
+    List<PeerReachability> invalid =
         List.of(
-            reach(0, List.of(), List.of(), List.of()),
-            reach(8, List.of(), List.of(new ZoneReach("a", 101)), List.of()),
-            reach(8, List.of(), List.of(new ZoneReach("a", -1)), List.of()),
-            reach(8, List.of(), List.of(), List.of(new ShardOffer(1, 4, 0, "node-2", false))),
-            reach(8, List.of(), List.of(), List.of(new ShardOffer(-1, 4, 9, "node-2", true))),
-            reach(8, tooMany, List.of(), List.of()));
-    for (PeerReach reach : wrong) {
-      byte[] record = PeerMessage.ofReach("node-1", reach).encode();
+            reachability(0, List.of(), List.of(), List.of()),
+            reachability(8, List.of(), List.of(new ZoneReachability("a", 101)), List.of()),
+            reachability(8, List.of(), List.of(new ZoneReachability("a", -1)), List.of()),
+            reachability(
+                8, List.of(), List.of(), List.of(new ShardOffer(1, 4, 0, "node-2", false))),
+            reachability(
+                8, List.of(), List.of(), List.of(new ShardOffer(-1, 4, 9, "node-2", true))),
+            reachability(8, tooMany, List.of(), List.of()));
+    for (PeerReachability reachability : invalid) {
+      byte[] record = PeerMessage.ofReachability("node-1", reachability).encode();
       assertThrows(IOException.class, () -> PeerMessage.decode(record));
     }
   }
 
-  private static void refused(byte[] good) {
-    for (int length = 0; length < good.length; length++) {
-      byte[] cut = Arrays.copyOf(good, length);
-      assertThrows(IOException.class, () -> PeerMessage.decode(cut));
+  private static void assertMalformedRejected(byte[] encoded) {
+    for (int length = 0; length < encoded.length; length++) {
+      byte[] truncated = Arrays.copyOf(encoded, length);
+      assertThrows(IOException.class, () -> PeerMessage.decode(truncated));
     }
-    assertThrows(IOException.class, () -> PeerMessage.decode(Arrays.copyOf(good, good.length + 1)));
-    byte[] other = good.clone();
+    assertThrows(
+        IOException.class, () -> PeerMessage.decode(Arrays.copyOf(encoded, encoded.length + 1)));
+    byte[] other = encoded.clone();
     other[0] = 0;
     assertThrows(IOException.class, () -> PeerMessage.decode(other));
-    // Cut short, a later version's record is garbled as well.
-    for (int length = 0; length < good.length; length++) {
-      byte[] cut = Arrays.copyOf(good, length);
+    // A truncated record of a later version is malformed as well.
+    for (int length = 0; length < encoded.length; length++) {
+      byte[] truncated = Arrays.copyOf(encoded, length);
       if (length > 0) {
-        cut[0] = 9;
+        truncated[0] = 9;
       }
-      assertThrows(IOException.class, () -> PeerMessage.decode(cut));
+      assertThrows(IOException.class, () -> PeerMessage.decode(truncated));
     }
   }
 
-  /** Versions run side by side while one is brought in: a new field must not cut them apart. */
+  /** Versions run side by side during an upgrade, so a new field must not stop their messages. */
   @Test
-  void whatALaterVersionAddsAtTheEndIsLeft() throws IOException {
-    byte[] good = HINT.encode();
-    byte[] later = Arrays.copyOf(good, good.length + 5);
+  void fieldsAddedByLaterVersionAreIgnored() throws IOException {
+    byte[] encoded = DEFICITS.encode();
+    byte[] later = Arrays.copyOf(encoded, encoded.length + 5);
     later[0] = 9;
-    assertEquals(HINT, PeerMessage.decode(later));
+    assertEquals(DEFICITS, PeerMessage.decode(later));
   }
 }
