--- a/src/main/java/gladeknot/peer/PeerMessageCodec.java
+++ b/src/main/java/gladeknot/peer/PeerMessageCodec.java
@@ -64,11 +64,12 @@
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
     int format = in.readByte();
     if (format < FORMAT_DEFICITS) {
-      throw new IOException("unknown format " + format);
+      throw new IOException("format " + format + ": must be at least " + FORMAT_DEFICITS);
     }
     PeerMessage message = read(in, format);
     if (format <= FORMAT_REACHABILITY && in.available() > 0) {
-      throw new IOException("longer than it says");
+      throw new IOException(
+          in.available() + " bytes after the last field of format " + format + ": must be 0");
     }
     return message;
   }
@@ -79,7 +80,14 @@
     long term = in.readLong();
     int deficitCount = in.readInt();
     if (shard < 0 || deficitCount < 0 || deficitCount > PeerMessage.MAX_DEFICITS) {
-      throw new IOException("out of range");
+      throw new IOException(
+          "out of range: shard "
+              + shard
+              + " (allowed: 0 or more), number of deficits "
+              + deficitCount
+              + " (allowed: 0 to "
+              + PeerMessage.MAX_DEFICITS
+              + ")");
     }
     List<QuotaDeficit> deficits = new ArrayList<>();
     for (int i = 0; i < deficitCount; i++) {
@@ -97,7 +105,11 @@
   private static List<String> readCancelledJobs(DataInputStream in) throws IOException {
     int count = in.readInt();
     if (count < 0 || count > PeerMessage.MAX_CANCELLED_JOBS) {
-      throw new IOException("out of range");
+      throw new IOException(
+          "number of cancelled jobs "
+              + count
+              + ": must be from 0 to "
+              + PeerMessage.MAX_CANCELLED_JOBS);
     }
     List<String> ids = new ArrayList<>();
     for (int i = 0; i < count; i++) {
--- a/src/main/java/gladeknot/peer/PeerReachabilityCodec.java
+++ b/src/main/java/gladeknot/peer/PeerReachabilityCodec.java
@@ -83,22 +83,34 @@
             in.readLong(),
             in.readLong(),
             in.readBoolean(),
-            readList(in, () -> readObservation(in)),
-            readList(in, () -> new ZoneReachability(in.readUTF(), in.readInt())),
-            readList(in, () -> new ShardContact(in.readInt(), in.readInt())),
-            readList(in, () -> readOffer(in)),
-            readList(in, () -> new ShardAccept(in.readInt(), in.readLong(), in.readUTF())));
+            readList(in, "observations", () -> readObservation(in)),
+            readList(in, "zones", () -> new ZoneReachability(in.readUTF(), in.readInt())),
+            readList(in, "contacts", () -> new ShardContact(in.readInt(), in.readInt())),
+            readList(in, "offers", () -> readOffer(in)),
+            readList(
+                in, "accepts", () -> new ShardAccept(in.readInt(), in.readLong(), in.readUTF())));
     if (!isInRange(reachability)) {
-      throw new IOException("out of range");
+      throw new IOException(
+          "reachability with sequence "
+              + reachability.sequence()
+              + " has a value out of range: sequence must be at least 1, each percent from 0 to "
+              + MAX_PERCENT
+              + ", each shard and number of workers 0 or more, each term above 0");
     }
     return reachability;
   }
 
-  private static <T> List<T> readList(DataInputStream in, ElementReader<T> reader)
+  private static <T> List<T> readList(DataInputStream in, String name, ElementReader<T> reader)
       throws IOException {
     int count = in.readInt();
     if (count < 0 || count > PeerReachability.MAX_ENTRIES) {
-      throw new IOException("out of range");
+      throw new IOException(
+          "number of "
+              + name
+              + " "
+              + count
+              + ": must be from 0 to "
+              + PeerReachability.MAX_ENTRIES);
     }
     List<T> list = new ArrayList<>();
     for (int i = 0; i < count; i++) {
