--- a/src/main/java/gladeknot/tasks/AttemptCodec.java
+++ b/src/main/java/gladeknot/tasks/AttemptCodec.java
@@ -117,9 +117,9 @@
     long number = 0;
     long host = 0;
     while (in.available() > 0) {
-      task += readVarint(in);
-      number += readVarint(in);
-      host += readVarint(in);
+      task += readVarint(in, "task");
+      number += readVarint(in, "attempt number");
+      host += readVarint(in, "host number");
       String name = fields[0] + Strings.padStart(Long.toString(host), digits, '0');
       attempts.add(new StoredAttempt((int) task, number, name));
     }
@@ -153,14 +153,20 @@
     out.write((int) remaining);
   }
 
-  private static long readVarint(ByteArrayInputStream in) {
+  private static long readVarint(ByteArrayInputStream in, String name) {
     long value = 0;
     int shift = 0;
     int next;
     do {
       next = in.read();
       if (next < 0) {
-        throw new IllegalArgumentException("attempts are cut short");
+        throw new IllegalArgumentException(
+            "attempt data ends in an incomplete "
+                + name
+                + " difference of "
+                + shift / VARINT_GROUP_BITS
+                + " bytes: its last byte must be at most "
+                + VARINT_GROUP_MASK);
       }
       value |= (long) (next & VARINT_GROUP_MASK) << shift;
       shift += VARINT_GROUP_BITS;
