--- a/src/main/java/gladeknot/jobs/JobRecordCodec.java
+++ b/src/main/java/gladeknot/jobs/JobRecordCodec.java
@@ -62,7 +62,14 @@
     try {
       spec = JobSpecCodec.decode(Json.map(data.get(SPEC)));
     } catch (MalformedJobException e) {
-      throw new IllegalStateException("job " + id + " is stored malformed: " + e.getMessage(), e);
+      throw new IllegalStateException(
+          "stored record of job "
+              + id
+              + ", revision "
+              + entry.modRevision()
+              + ", has a malformed submission: "
+              + e.getMessage(),
+          e);
     }
     int home = (int) Json.num(data, HOME, 0);
     long submittedMicros = Json.num(data, SUBMITTED_MICROS, 0);
