--- a/src/test/java/gladeknot/app/CancellationTest.java
+++ b/src/test/java/gladeknot/app/CancellationTest.java
@@ -85,7 +85,8 @@
       cluster.run(SECOND);
       // then
       assertEquals(List.of(), cluster.violations());
-      assertTrue(List.of("done", "withdrawn").contains(cluster.phase("req-end")));
+      String phase = cluster.phase("req-end");
+      assertTrue(List.of("done", "withdrawn").contains(phase), phase);
     }
   }
 }
--- a/src/test/java/gladeknot/app/HandOverFaultsTest.java
+++ b/src/test/java/gladeknot/app/HandOverFaultsTest.java
@@ -82,7 +82,8 @@
     cluster.start(HOME);
     cluster.faults().delayCommitAnswers(temporaryOwner, ANSWER_DELAY_MICROS);
     for (int i = 0; !cluster.owner(HOME).equals("node-0"); i++) {
-      assertTrue(i < 3_000, "shard 0 did not return to node-0");
+      assertTrue(
+          i < 3_000, () -> "shard 0 did not return to node-0, its owner is " + cluster.owner(HOME));
       if (i % 60 == 0) {
         cluster.submit(temporaryOwner, TestJobs.job("req-work" + i / 60, "array", 3));
       }
@@ -107,7 +108,13 @@
       SimulatedCluster cluster, long timeoutMicros, BooleanSupplier condition) {
     long deadlineMicros = cluster.now() + timeoutMicros;
     while (!condition.getAsBoolean()) {
-      assertTrue(cluster.now() < deadlineMicros, "condition not met in time");
+      assertTrue(
+          cluster.now() < deadlineMicros,
+          () ->
+              "condition not met within "
+                  + timeoutMicros / SECOND
+                  + " s, the owner of shard 0 is "
+                  + cluster.owner(HOME));
       cluster.run(SECOND / 10);
     }
   }
--- a/src/test/java/gladeknot/app/SimulatedClusterTest.java
+++ b/src/test/java/gladeknot/app/SimulatedClusterTest.java
@@ -82,7 +82,8 @@
                 // The machines do not count as never started, and no replacements are rented.
                 assertEquals(rentals, cluster.cloud().rentals());
                 assertTrue(
-                    cluster.rented().containsAll(before), "some of these were released: " + before);
+                    cluster.rented().containsAll(before),
+                    () -> "some of " + before + " were released, rented are " + cluster.rented());
               }),
           new Case(
               "controllers are restarted one after the other",
--- a/src/test/java/gladeknot/app/SplitRandomFaultsTest.java
+++ b/src/test/java/gladeknot/app/SplitRandomFaultsTest.java
@@ -98,7 +98,9 @@
       settle();
       // then
       assertEquals(List.of(), cluster.violations());
-      assertTrue(Json.num(cluster.state().get("g/format"), "split", 0) > 1, "no segment was split");
+      assertTrue(
+          Json.num(cluster.state().get("g/format"), "split", 0) > 1,
+          () -> "no segment was split: " + cluster.state().get("g/format"));
       for (String job : jobs) {
         String phase = cluster.phase(job);
         assertEquals("done", phase, job);
--- a/src/test/java/gladeknot/settings/FeatureReaderTest.java
+++ b/src/test/java/gladeknot/settings/FeatureReaderTest.java
@@ -75,8 +75,10 @@
     assertTrue(read.status().isEmpty() && read.tracing().isEmpty());
     List<String> faults = FeatureReader.read(List.of(valid, duplicate, missing)).faults();
     assertEquals(2, faults.size(), faults.toString());
-    assertTrue(faults.get(0).contains("partial-cuts is turned on by " + valid + " too"));
-    assertTrue(faults.get(1).startsWith(missing + ": can't be read"));
+    assertTrue(
+        faults.get(0).contains("partial-cuts is turned on by " + valid + " too"),
+        faults.toString());
+    assertTrue(faults.get(1).startsWith(missing + ": can't be read"), faults.toString());
   }
 
   /** The values in the shipped file equal the defaults for absent fields. */
