--- a/src/main/java/gladeknot/json/Json.java
+++ b/src/main/java/gladeknot/json/Json.java
@@ -33,11 +33,7 @@
     if (value instanceof Map) {
       return (Map<String, Object>) value;
     }
-    throw new IOException(
-        "not a JSON object: "
-            + bytes.length
-            + " bytes, read as "
-            + (value == null ? "null" : value.getClass().getSimpleName()));
+    throw new IOException("not a JSON object");
   }
 
   /** Encodes a value as JSON text in UTF-8. */
