--- a/src/main/java/gladeknot/commit/BatchLimits.java
+++ b/src/main/java/gladeknot/commit/BatchLimits.java
@@ -7,7 +7,7 @@
 import gladeknot.tasks.Slice;
 import gladeknot.tasks.SliceRegistry;
 
-/** Limits the size of a transaction by the state store's limits, write tokens and refusals. */
+/** Limits the size of a transaction by the state service's limits, write tokens and refusals. */
 final class BatchLimits {
   /**
    * Share of the write tokens reserved for submissions and aborts, because users wait for these.
--- a/src/main/java/gladeknot/commit/CommitState.java
+++ b/src/main/java/gladeknot/commit/CommitState.java
@@ -17,7 +17,7 @@
     nowMicros = now;
   }
 
-  /** Returns the admission that is asked about starts and ends when a transaction is built. */
+  /** Returns the admission check for starts and ends, applied when a transaction is built. */
   StartAdmission admission() {
     return admission;
   }
--- a/src/main/java/gladeknot/commit/SliceBatcher.java
+++ b/src/main/java/gladeknot/commit/SliceBatcher.java
@@ -62,8 +62,7 @@
   void add(Slice slice, TransactionBatch batch) {
     if (slice.needsMigration() && hasRecordAtTarget(slice)) {
       // An earlier version left a second record in the target segment. Moving this record there
-      // would
-      // overwrite the attempts of the second record.
+      // would overwrite the attempts of the second record.
       reloader.reload(slice);
       return;
     }
--- a/src/main/java/gladeknot/commit/package-info.java
+++ b/src/main/java/gladeknot/commit/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Commits the controller's changes to the state store, in batches.
+ * Commits the controller's changes to the state service, in batches.
  *
  * <p>{@link gladeknot.commit.TransactionCommitter} sends one conditional transaction at a time. It
  * owns the pending changes ({@code PendingChanges}) and the transaction in flight ({@code
--- a/src/main/java/gladeknot/jobs/DependencyGraph.java
+++ b/src/main/java/gladeknot/jobs/DependencyGraph.java
@@ -19,7 +19,7 @@
  * its dependents, and the cost of a cancellation to the number of jobs that it cancels.
  */
 final class DependencyGraph {
-  /** A job that is held until its open dependencies are done. */
+  /** A job that is held until its open dependencies are completed. */
   private static final class HeldJob {
     private Job job;
     private final Set<String> openDependencies = new LinkedHashSet<>();
@@ -51,7 +51,7 @@
     return heldJob == null ? null : heldJob.job;
   }
 
-  /** Returns the dependencies of a job that are not done yet; empty if the job isn't held. */
+  /** Returns the dependencies of a job that are not completed yet; empty if the job isn't held. */
   Collection<String> openDependencies(String id) {
     HeldJob heldJob = heldJobs.get(id);
     return heldJob == null ? List.of() : heldJob.openDependencies;
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Handles the end of a job. If the job is done, dependents that no other dependency holds are
-   * added to {@code released}. If it was cancelled, its dependents are cancelled too.
+   * Handles the end of a job. If the job is completed, dependents that no other dependency holds
+   * are added to {@code released}. If it was cancelled, its dependents are cancelled too.
    */
   void onFinished(String id, List<Job> released) {
     Job finished = finishedJobs.apply(id);
@@ -167,8 +167,8 @@
   }
 
   /**
-   * Returns the dependent with a ready time no earlier than the end of its dependency. A done job
-   * whose record contains no end time ended before jobs could have dependencies.
+   * Returns the dependent with a ready time no earlier than the end of its dependency. A completed
+   * job whose record contains no end time ended before jobs could have dependencies.
    */
   private static Job readyAfter(Job dependent, Job dependency) {
     return dependency.endMicros() > dependent.readyMicros()
--- a/src/main/java/gladeknot/jobs/Job.java
+++ b/src/main/java/gladeknot/jobs/Job.java
@@ -3,8 +3,8 @@
 import gladeknot.state.StateStore;
 
 /**
- * An accepted job according to its record in the state store. Times are microseconds of the time of
- * day.
+ * An accepted job according to its record in the state service. Times are microseconds of the time
+ * of day.
  *
  * @param id the id chosen by the user
  * @param phase whether the job is active, or how it ended
@@ -14,8 +14,8 @@
  * @param submittedMicros time of acceptance; 0 once the job is finished
  * @param readyMicros time from which the job's waiting time counts: its acceptance, or the end of
  *     its last dependency if that is later; 0 once the job is finished
- * @param endMicros time at which the job was done; 0 if it is not done or its record contains no
- *     end time
+ * @param endMicros time at which the job was completed; 0 if it is not completed or its record
+ *     contains no end time
  * @param modRevision the revision of the job's record
  */
 public record Job(
@@ -33,7 +33,7 @@
   public enum Phase {
     /** Accepted and not finished. The job may be held by its dependencies. */
     ACTIVE,
-    /** All tasks are done. */
+    /** All tasks are completed. */
     DONE,
     /** Cancelled by its user, or because of a cancelled dependency. */
     CANCELLED
@@ -47,7 +47,7 @@
     return KEY_PREFIX + id;
   }
 
-  /** Returns whether the job is neither done nor cancelled. */
+  /** Returns whether the job is neither completed nor cancelled. */
   public boolean active() {
     return phase == Phase.ACTIVE;
   }
--- a/src/main/java/gladeknot/jobs/JobAnswers.java
+++ b/src/main/java/gladeknot/jobs/JobAnswers.java
@@ -63,7 +63,7 @@
     outbox.answer(request, OK, Json.of(ID, finished.id(), PHASE, finalPhase(finished)));
   }
 
-  /** Answers with the final phase of a finished job and the number of its done tasks. */
+  /** Answers with the final phase of a finished job and the number of its completed tasks. */
   void finalState(long request, Job finished) {
     Map<String, Object> answer = Json.of(ID, finished.id(), PHASE, finalPhase(finished));
     answer.put(DONE, finished.phase() == Job.Phase.DONE ? finished.tasks() : 0);
--- a/src/main/java/gladeknot/jobs/JobRecordCodec.java
+++ b/src/main/java/gladeknot/jobs/JobRecordCodec.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * Converts a {@link Job} from and to its record in the state store. An active job's record holds
+ * Converts a {@link Job} from and to its record in the state service. An active job's record holds
  * the submission. A final record holds the phase and the number of tasks, and never changes again.
  */
 public final class JobRecordCodec {
@@ -28,7 +28,7 @@
     return Json.of(SPEC, JobSpecCodec.encode(spec), HOME, home, SUBMITTED_MICROS, wallMicros);
   }
 
-  /** Returns the final record of a job whose tasks were all done at a time of day. */
+  /** Returns the final record of a job whose tasks were all completed at a time of day. */
   public static Map<String, Object> encodeDone(int tasks, long wallMicros) {
     return Json.of(PHASE, PHASE_DONE, TASKS, tasks, END_MICROS, wallMicros);
   }
--- a/src/main/java/gladeknot/jobs/JobRegistry.java
+++ b/src/main/java/gladeknot/jobs/JobRegistry.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 
 /**
- * All accepted jobs, as shown by the cache of the state store.
+ * All accepted jobs, as shown by the watch cache.
  *
- * <p>A job with dependencies that are not done is <em>held</em> and not among the active jobs.
- * Placement and scale-out don't see it before all of its dependencies are done. A job that depends
- * on a cancelled job, directly or indirectly, counts as cancelled as soon as the cache shows that
- * cancellation, even if the job's own record does not show it yet.
+ * <p>A job with dependencies that are not completed is <em>held</em> and not among the active jobs.
+ * Placement and scale-out don't see it before all of its dependencies are completed. A job that
+ * depends on a cancelled job, directly or indirectly, counts as cancelled as soon as the cache
+ * shows that cancellation, even if the job's own record does not show it yet.
  */
 public final class JobRegistry {
   /** Receives jobs that become active or finish. */
@@ -53,21 +53,22 @@
   }
 
   /**
-   * Returns a job that is neither done nor cancelled, held or not; null if there is no such job.
+   * Returns a job that is neither completed nor cancelled, held or not; null if there is no such
+   * job.
    */
   public Job unfinished(String id) {
     Job job = active.get(id);
     return job != null ? job : dependencies.held(id);
   }
 
-  /** Returns whether a job is done or cancelled; false for an unknown job. */
+  /** Returns whether a job is completed or cancelled; false for an unknown job. */
   public boolean isFinished(String id) {
     return finished(id) != null;
   }
 
   /**
-   * Returns a job that is done, or cancelled directly or because of a dependency; null if it is
-   * neither.
+   * Returns a job that is completed, or cancelled directly or because of a dependency; null if it
+   * is neither.
    */
   public Job finished(String id) {
     Job job = finished.get(id);
@@ -84,7 +85,7 @@
     return dependencies.cancelled();
   }
 
-  /** Returns the dependencies of a job that are not done yet; empty if the job isn't held. */
+  /** Returns the dependencies of a job that are not completed yet; empty if the job isn't held. */
   public Collection<String> openDependencies(String id) {
     return dependencies.openDependencies(id);
   }
--- a/src/main/java/gladeknot/jobs/JobRequestHandler.java
+++ b/src/main/java/gladeknot/jobs/JobRequestHandler.java
@@ -26,7 +26,7 @@
     /** Returns the home shard of a new job. */
     int homeShard(JobSpec spec);
 
-    /** Returns the numbers of done and running tasks of an unfinished job. */
+    /** Returns the numbers of completed and running tasks of an unfinished job. */
     TaskCounts taskCounts(Job job);
 
     /**
--- a/src/main/java/gladeknot/jobs/JobSpec.java
+++ b/src/main/java/gladeknot/jobs/JobSpec.java
@@ -27,9 +27,9 @@
  * @param estimatedRunMicros the user's estimate of a task's run time
  * @param checkpointIntervalMicros the time between two checkpoints of a task; 0 if it has none
  * @param checkpointMicros the time that a checkpoint takes when a task is stopped
- * @param deadlineMicros time from the submission within which the job should be done; 0 if the user
- *     set no deadline
- * @param dependencies the jobs that have to be done before a task of this job starts, without
+ * @param deadlineMicros time from the submission within which the job should be completed; 0 if the
+ *     user set no deadline
+ * @param dependencies the jobs that have to be completed before a task of this job starts, without
  *     duplicates; empty if there are none
  */
 public record JobSpec(
--- a/src/main/java/gladeknot/jobs/RequestCommitter.java
+++ b/src/main/java/gladeknot/jobs/RequestCommitter.java
@@ -30,10 +30,10 @@
   private static final int MAX_QUEUED_REQUESTS = 300;
   private static final long MAX_WAIT_MICROS = 2_500_000;
 
-  /** Delay until the next transaction after the state store has throttled one. */
+  /** Delay until the next transaction after the state service has throttled one. */
   private static final long THROTTLED_DELAY_MICROS = 60_000;
 
-  /** Delay until the next transaction after the state store has failed. */
+  /** Delay until the next transaction after the state service has failed. */
   private static final long FAILED_DELAY_MICROS = 100_000;
 
   /** Share of the write tokens left to more urgent transactions. Users' requests leave none. */
--- a/src/main/java/gladeknot/jobs/SubmissionErrors.java
+++ b/src/main/java/gladeknot/jobs/SubmissionErrors.java
@@ -16,7 +16,8 @@
   }
 
   /**
-   * Rejects a submission whose record would exceed the maximum size of a value in the state store.
+   * Rejects a submission whose record would exceed the maximum size of a value in the state
+   * service.
    */
   static Rejected tooLong(JobSpec spec) {
     String longestField = spec.dependencies().isEmpty() ? "hosttypes" : "waitsOn";
--- a/src/main/java/gladeknot/lifecycle/AttemptTracker.java
+++ b/src/main/java/gladeknot/lifecycle/AttemptTracker.java
@@ -100,7 +100,7 @@
     killDispatcher.add(attempt);
   }
 
-  /** Kills an attempt at once because its job is done or cancelled. */
+  /** Kills an attempt at once because its job is completed or cancelled. */
   void killForFinishedJob(Attempt attempt) {
     attempt.markJobFinished();
     kill(attempt, 0);
--- a/src/main/java/gladeknot/lifecycle/FinishedJobs.java
+++ b/src/main/java/gladeknot/lifecycle/FinishedJobs.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Stops the remaining attempts of jobs that are done or cancelled. */
+/** Stops the remaining attempts of jobs that are completed or cancelled. */
 final class FinishedJobs {
   private final Membership membership;
   private final JobRegistry jobs;
--- a/src/main/java/gladeknot/lifecycle/JobCompletion.java
+++ b/src/main/java/gladeknot/lifecycle/JobCompletion.java
@@ -19,7 +19,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Commits the final states of jobs: done, or cancelled together with a job that they depend on. */
+/**
+ * Commits the final states of jobs: completed, or cancelled together with a job that they depend
+ * on.
+ */
 final class JobCompletion {
   private static final Logger LOG = LoggerFactory.getLogger(JobCompletion.class);
 
@@ -43,7 +46,8 @@
   }
 
   /**
-   * Finishes jobs whose tasks are all done in committed records, and dependents of cancelled jobs.
+   * Finishes jobs whose tasks are all completed in committed records, and dependents of cancelled
+   * jobs.
    */
   void check(long wallMicros) {
     for (Job job : List.copyOf(jobs.active())) {
@@ -95,7 +99,9 @@
             }));
   }
 
-  /** Returns the tasks done in committed records. A task listed by several slices counts once. */
+  /**
+   * Returns the tasks completed in committed records. A task listed by several slices counts once.
+   */
   private BitSet committedDone(Job job) {
     BitSet done = new BitSet();
     slices.ofJob(job.id()).forEach(slice -> done.or(slice.committedDone()));
--- a/src/main/java/gladeknot/state/ReadBarriers.java
+++ b/src/main/java/gladeknot/state/ReadBarriers.java
@@ -6,8 +6,8 @@
 
 /**
  * Callbacks that wait until the watch cache is as recent as a point in time or a revision. A
- * barrier for a point in time is first queued, then shares one read of the store's revision with
- * other barriers, then waits until the cache has reached that revision.
+ * barrier for a point in time is first queued, then shares one read of the state service's revision
+ * with other barriers, then waits until the cache has reached that revision.
  */
 final class ReadBarriers {
   /** Time after which a barrier fails. */
@@ -97,7 +97,8 @@
   /**
    * Handles the end of a read.
    *
-   * @param readRevision the store's revision according to the read; empty if the read failed
+   * @param readRevision the state service's revision according to the read; empty if the read
+   *     failed
    */
   void finishRead(List<Barrier> batch, OptionalLong readRevision, long cacheRevision) {
     readInFlight = false;
--- a/src/main/java/gladeknot/state/StateServiceCodec.java
+++ b/src/main/java/gladeknot/state/StateServiceCodec.java
@@ -109,8 +109,8 @@
   }
 
   /**
-   * Decodes the store's revision from the reply to a read of a key that never exists; empty if the
-   * reply does not contain it.
+   * Decodes the state service's revision from the reply to a read of a key that never exists; empty
+   * if the reply does not contain it.
    */
   static OptionalLong revisionOfAbsentKey(Outbox.Reply reply) {
     long revision = reply.status() == NOT_FOUND ? Json.num(reply.object(), REVISION, -1) : -1;
--- a/src/main/java/gladeknot/state/StateStore.java
+++ b/src/main/java/gladeknot/state/StateStore.java
@@ -21,7 +21,7 @@
   /** Common prefix of all keys, so that one watch covers every change. */
   public static final String ROOT = "g/";
 
-  /** Key that is never written. A read of this key returns only the store's revision. */
+  /** Key that is never written. A read of this key returns only the state service's revision. */
   private static final String BARRIER_KEY = ROOT + "-";
 
   private static final long COMMIT_TIMEOUT_MICROS = 2_500_000;
--- a/src/main/java/gladeknot/tasks/PackedValue.java
+++ b/src/main/java/gladeknot/tasks/PackedValue.java
@@ -32,7 +32,7 @@
     return new PackedValue(fields);
   }
 
-  /** Returns a view of an entry of the state store, or {@link #EMPTY} if the entry is null. */
+  /** Returns a view of an entry of the state service, or {@link #EMPTY} if the entry is null. */
   public static PackedValue of(Entry entry) {
     return entry == null ? EMPTY : new PackedValue(entry.data());
   }
--- a/src/main/java/gladeknot/tasks/SegmentLocation.java
+++ b/src/main/java/gladeknot/tasks/SegmentLocation.java
@@ -12,7 +12,7 @@
 
   private int targetSplit;
 
-  /** Key of the segment that holds the record; null if the state store has no record. */
+  /** Key of the segment that holds the record; null if the state service has no record. */
   private String storedKey;
 
   SegmentLocation(SegmentLayout layout, boolean unsplit, int shard, String job) {
@@ -33,13 +33,14 @@
   }
 
   /**
-   * Returns the key of the segment that holds the record, or null if the state store has no record.
+   * Returns the key of the segment that holds the record, or null if the state service has no
+   * record.
    */
   String storedKey() {
     return storedKey;
   }
 
-  /** Sets the key of the segment that holds the record; null if the state store has no record. */
+  /** Sets the key of the segment that holds the record; null if the state service has no record. */
   void setStoredKey(String key) {
     storedKey = key;
   }
--- a/src/main/java/gladeknot/tasks/Slice.java
+++ b/src/main/java/gladeknot/tasks/Slice.java
@@ -156,7 +156,7 @@
     dirtySinceMicros = 0;
   }
 
-  /** Records that the record was written to a segment with the given tasks done. */
+  /** Records that the record was written to a segment with the given tasks completed. */
   public void markStored(String segmentKey, BitSet storedDone) {
     location.setStoredKey(segmentKey);
     committedDone = storedDone;
@@ -208,7 +208,7 @@
     return requirements;
   }
 
-  /** Returns the tasks that are done according to the committed record. */
+  /** Returns the tasks that are completed according to the committed record. */
   public BitSet committedDone() {
     return committedDone;
   }
@@ -228,7 +228,7 @@
     return location.needsMigration();
   }
 
-  /** Returns whether the state store has a record of the slice. */
+  /** Returns whether the state service has a record of the slice. */
   boolean isStored() {
     return location.isStored();
   }
@@ -293,8 +293,8 @@
   }
 
   /**
-   * Marks a task as done. A gang is marked as done as a whole, whatever its other machines report
-   * later. The job is null if it is not active.
+   * Marks a task as completed. A gang is marked as completed as a whole, whatever its other
+   * machines report later. The job is null if it is not active.
    */
   public void markDone(int task, Job activeJob) {
     if (activeJob != null && activeJob.spec().shape() == JobSpec.Shape.GANG) {
@@ -304,17 +304,17 @@
     }
   }
 
-  /** Returns whether a task of the slice is neither done nor started. */
+  /** Returns whether a task of the slice is neither completed nor started. */
   public boolean isPending(int task) {
     return tasks.isPending(task);
   }
 
-  /** Returns the first task from a number on that is neither done nor started; -1 if none. */
+  /** Returns the first task from a number on that is neither completed nor started; -1 if none. */
   public int nextPending(int from) {
     return tasks.nextPending(from);
   }
 
-  /** Returns the number of tasks that are neither done nor started. */
+  /** Returns the number of tasks that are neither completed nor started. */
   public int pendingCount() {
     return tasks.pendingCount();
   }
@@ -386,7 +386,7 @@
     tasks.invalidateCounts();
   }
 
-  /** Returns whether all assigned tasks are done. */
+  /** Returns whether all assigned tasks are completed. */
   public boolean isComplete() {
     return tasks.isComplete();
   }
--- a/src/main/java/gladeknot/tasks/SliceRecord.java
+++ b/src/main/java/gladeknot/tasks/SliceRecord.java
@@ -10,7 +10,7 @@
  *
  * @param attemptCounter the number of attempt numbers that the slice has assigned
  * @param assigned the tasks that are assigned to the shard
- * @param done the assigned tasks that are done
+ * @param done the assigned tasks that are completed
  * @param attempts the attempts that may be on machines
  */
 record SliceRecord(
@@ -24,8 +24,8 @@
     List<AttemptCodec.StoredAttempt> attempts) {
 
   /**
-   * Text of the done tasks if all assigned tasks are done. It keeps records short, because most
-   * stored slices are done.
+   * Text of the completed tasks if all assigned tasks are completed. It keeps records short,
+   * because most stored slices are completed.
    */
   private static final String ALL_ASSIGNED = "*";
 
--- a/src/main/java/gladeknot/tasks/TaskStates.java
+++ b/src/main/java/gladeknot/tasks/TaskStates.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /**
- * The states of a slice's tasks: the assigned tasks, the done tasks and the attempts. Counts that
- * are read in each scheduling cycle are computed once after each change.
+ * The states of a slice's tasks: the assigned tasks, the completed tasks and the attempts. Counts
+ * that are read in each scheduling cycle are computed once after each change.
  */
 final class TaskStates {
   /** Value of a count that has to be computed again. */
@@ -29,7 +29,7 @@
     return attemptsByTask;
   }
 
-  /** Replaces the assigned and the done tasks and keeps the attempts. */
+  /** Replaces the assigned and the completed tasks and keeps the attempts. */
   void reset(BitSet newAssigned, BitSet newDone) {
     pendingCount = UNKNOWN;
     assigned.clear();
@@ -62,7 +62,7 @@
     return done.cardinality() == assigned.cardinality();
   }
 
-  /** Returns whether a task is neither done nor started. */
+  /** Returns whether a task is neither completed nor started. */
   boolean isPending(int task) {
     return assigned.get(task) && !done.get(task) && !attemptsByTask.containsKey(task);
   }
@@ -77,10 +77,11 @@
     return -1;
   }
 
-  /** Returns the number of tasks that are neither done nor started. */
+  /** Returns the number of tasks that are neither completed nor started. */
   int pendingCount() {
     if (pendingCount < 0) {
-      // All attempts are of assigned tasks. Only attempts that just ended are of done tasks.
+      // All attempts belong to assigned tasks. Only an attempt that has just ended can belong to a
+      // completed task.
       int started = 0;
       for (Attempt attempt : attemptsByTask.values()) {
         if (!done.get(attempt.task())) {
--- a/src/main/java/gladeknot/workers/Worker.java
+++ b/src/main/java/gladeknot/workers/Worker.java
@@ -44,7 +44,7 @@
 
   // The stored record.
 
-  /** Applies the machine's record in the state store. */
+  /** Applies the machine's record in the state service. */
   void onRegistered(WorkerRecord stored) {
     record = stored;
     registered = true;
@@ -88,7 +88,7 @@
     return registered() && !terminating() && reclaimAtMicros() == 0;
   }
 
-  /** Returns whether the state store has a record of the machine. */
+  /** Returns whether the state service has a record of the machine. */
   public boolean registered() {
     return registered;
   }
--- a/src/main/java/gladeknot/workers/WorkerRecord.java
+++ b/src/main/java/gladeknot/workers/WorkerRecord.java
@@ -1,7 +1,7 @@
 package gladeknot.workers;
 
 /**
- * The record of a rented machine in the state store, encoded and decoded by {@link
+ * The record of a rented machine in the state service, encoded and decoded by {@link
  * WorkerRecordCodec}.
  *
  * @param shard the shard that the machine belongs to
--- a/src/main/java/gladeknot/workers/WorkerRegistry.java
+++ b/src/main/java/gladeknot/workers/WorkerRegistry.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 
 /**
- * All known machines by name: machines with a record in the state store, and machines to which
+ * All known machines by name: machines with a record in the state service, and machines to which
  * attempts are assigned.
  */
 public final class WorkerRegistry implements HostDirectory {
@@ -29,7 +29,7 @@
     return workers.values();
   }
 
-  /** Returns a view of the machines of a shard that have a record in the state store. */
+  /** Returns a view of the machines of a shard that have a record in the state service. */
   public Collection<Worker> inShard(int shard) {
     return byShard.getOrDefault(shard, Map.of()).values();
   }
