--- a/src/main/java/gladeknot/fleet/StartDeadlines.java
+++ b/src/main/java/gladeknot/fleet/StartDeadlines.java
@@ -74,7 +74,7 @@
       if (objective.kind() == ObjectiveKind.DEADLINE
           && spec.jobClass().equals(objective.jobClass())) {
         long slackMicros =
-            (long) (spec.deadlineMicros() * objective.times())
+            (long) (spec.deadlineMicros() * objective.deadlineMultiple())
                 - ageMicros
                 - runMicros
                 - COMPLETION_DELAY_MICROS;
--- a/src/main/java/gladeknot/scheduling/DeadlineObjectives.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineObjectives.java
@@ -28,8 +28,8 @@
       if (kind == ObjectiveKind.DEADLINE) {
         deadlineMultiplesByClass
             .computeIfAbsent(jobClass, c -> new HashSet<>())
-            .add(objective.times());
-        multiples.add(objective.times());
+            .add(objective.deadlineMultiple());
+        multiples.add(objective.deadlineMultiple());
       } else if (jobClass != null
           && (kind == ObjectiveKind.WAIT || kind == ObjectiveKind.FINISHED)) {
         otherObjectives.computeIfAbsent(jobClass, c -> new ArrayList<>()).add(objective);
--- a/src/main/java/gladeknot/settings/Settings.java
+++ b/src/main/java/gladeknot/settings/Settings.java
@@ -74,10 +74,14 @@
    * @param jobClass class of jobs that the objective covers; null if the file names none
    * @param withinMicros maximum time that meets the objective; 0 where none applies
    * @param share fraction that is to meet the objective, such as a fraction of the jobs
-   * @param times multiple of the jobs' deadlines; 0 where none applies
+   * @param deadlineMultiple multiple of the jobs' deadlines; 0 where none applies
    */
   public record Objective(
-      ObjectiveKind kind, String jobClass, long withinMicros, double share, double times) {}
+      ObjectiveKind kind,
+      String jobClass,
+      long withinMicros,
+      double share,
+      double deadlineMultiple) {}
 
   /**
    * Timing of the workers.
