--- a/src/main/java/gladeknot/fleet/CloudClient.java
+++ b/src/main/java/gladeknot/fleet/CloudClient.java
@@ -34,7 +34,7 @@
     this.address = settings.cloudAddress();
     this.outbox = outbox;
     this.clock = clock;
-    double callsPerSecond = settings.cloudLimits().rps() / settings.nodes().size();
+    double callsPerSecond = settings.cloudLimits().requestsPerSecond() / settings.nodes().size();
     this.tokens = new TokenBucket(callsPerSecond * RATE_FACTOR, callsPerSecond * BURST_SECONDS);
   }
 
--- a/src/main/java/gladeknot/settings/Settings.java
+++ b/src/main/java/gladeknot/settings/Settings.java
@@ -103,24 +103,28 @@
   /**
    * Limits of the state service.
    *
-   * @param rps requests per second
-   * @param writeRps writes per second
-   * @param valueBytes size of a value
-   * @param txnOps operations in a transaction
+   * @param requestsPerSecond maximum number of requests per second
+   * @param writesPerSecond maximum number of writes per second
+   * @param valueBytes maximum size of a value, in bytes
+   * @param maxTransactionOperations maximum number of operations in a transaction
    */
-  public record StateLimits(double rps, double writeRps, int valueBytes, int txnOps) {
+  public record StateLimits(
+      double requestsPerSecond,
+      double writesPerSecond,
+      int valueBytes,
+      int maxTransactionOperations) {
     /** Returns the smaller value of each limit. */
     public StateLimits smaller(StateLimits other) {
       return new StateLimits(
-          Math.min(rps, other.rps),
-          Math.min(writeRps, other.writeRps),
+          Math.min(requestsPerSecond, other.requestsPerSecond),
+          Math.min(writesPerSecond, other.writesPerSecond),
           Math.min(valueBytes, other.valueBytes),
-          Math.min(txnOps, other.txnOps));
+          Math.min(maxTransactionOperations, other.maxTransactionOperations));
     }
   }
 
   /** Limits of the cloud: requests per second, and the maximum age of its lists of machines. */
-  public record CloudLimits(double rps, long listLagMicros) {}
+  public record CloudLimits(double requestsPerSecond, long listLagMicros) {}
 
   /**
    * Returns the names of all controllers, including this one, in sorted order. The index of a name
--- a/src/main/java/gladeknot/settings/SettingsReader.java
+++ b/src/main/java/gladeknot/settings/SettingsReader.java
@@ -168,10 +168,10 @@
     }
     Map<String, Object> defaults =
         Json.of(
-            "rps", current.rps(),
-            "write_rps", current.writeRps(),
+            "rps", current.requestsPerSecond(),
+            "write_rps", current.writesPerSecond(),
             "value_kb", current.valueBytes() / BYTES_PER_KIB,
-            "txn_ops", current.txnOps());
+            "txn_ops", current.maxTransactionOperations());
     return readStateLimits(state.table("next").withDefaults(defaults));
   }
 
--- a/src/main/java/gladeknot/state/RequestLimits.java
+++ b/src/main/java/gladeknot/state/RequestLimits.java
@@ -36,7 +36,7 @@
   RequestLimits(Settings settings, TransactionLimits limits) {
     this.limits = limits;
     double evenShare = TOTAL_SHARE / settings.nodes().size();
-    double requestsPerSecond = settings.stateLimits().rps() * evenShare;
+    double requestsPerSecond = settings.stateLimits().requestsPerSecond() * evenShare;
     // Writes come in bursts, at one controller at a time. Therefore each controller may exceed an
     // even share. It backs off when the service reports that all controllers together are over the
     // limit.
--- a/src/main/java/gladeknot/state/TransactionLimits.java
+++ b/src/main/java/gladeknot/state/TransactionLimits.java
@@ -56,7 +56,7 @@
 
   /** Returns the maximum number of puts and deletes in one transaction. */
   public int maxOperations() {
-    return Math.max(MIN_OPERATIONS, inForce().txnOps());
+    return Math.max(MIN_OPERATIONS, inForce().maxTransactionOperations());
   }
 
   /**
@@ -74,7 +74,7 @@
 
   /** Returns the maximum rate of puts and deletes of all controllers, per second. */
   public double writesPerSecond() {
-    return inForce().writeRps();
+    return inForce().writesPerSecond();
   }
 
   /**
