--- a/src/main/java/gladeknot/connectivity/LinkTable.java
+++ b/src/main/java/gladeknot/connectivity/LinkTable.java
@@ -37,7 +37,7 @@
             settings.damping().suppressAbove(),
             settings.damping().reuseBelow(),
             settings.damping().halfLifeMicros(),
-            settings.damping().mostSuppressedMicros());
+            settings.damping().maxSuppressedMicros());
   }
 
   /** Returns the health of a direction, with a new entry for a link that has none. */
--- a/src/main/java/gladeknot/settings/PartialCuts.java
+++ b/src/main/java/gladeknot/settings/PartialCuts.java
@@ -37,14 +37,14 @@
    * @param suppressAbove penalty above which the link or shard is suppressed
    * @param reuseBelow penalty below which the suppression ends
    * @param halfLifeMicros time in which a penalty decays to half
-   * @param mostSuppressedMicros maximum duration of a suppression after the last change
+   * @param maxSuppressedMicros maximum duration of a suppression after the last change
    */
   public record Damping(
       double penaltyPerChange,
       double suppressAbove,
       double reuseBelow,
       long halfLifeMicros,
-      long mostSuppressedMicros) {}
+      long maxSuppressedMicros) {}
 
   /**
    * Offers of shards that their owner can't use to other controllers.
@@ -120,7 +120,7 @@
     if (damping.suppressAbove() <= damping.reuseBelow()) {
       table.fault("suppress_above", "must be above reuse_below");
     }
-    if (damping.mostSuppressedMicros() < damping.halfLifeMicros()) {
+    if (damping.maxSuppressedMicros() < damping.halfLifeMicros()) {
       table.fault("most_suppressed_s", "must not be below half_life_s");
     }
     table.rejectUnknown();
