--- a/src/main/java/gladeknot/fleet/InstanceCatalog.java
+++ b/src/main/java/gladeknot/fleet/InstanceCatalog.java
@@ -120,7 +120,7 @@
 
   /** Returns how long a machine of a type takes to fetch a job's image, in microseconds. */
   static long fetchMicros(JobSpec spec, MachineType type) {
-    return (long) (spec.imageGb() / type.fetchGbPerS() * MICROS_PER_SECOND);
+    return (long) (spec.imageGb() / type.fetchGbPerSecond() * MICROS_PER_SECOND);
   }
 
   /** Returns whether a job allows a type and a task fits an empty machine of the type. */
--- a/src/main/java/gladeknot/scheduling/HomeShardSelector.java
+++ b/src/main/java/gladeknot/scheduling/HomeShardSelector.java
@@ -80,7 +80,7 @@
         continue;
       }
       inferCachedImages(worker, type);
-      double fetchMicros = spec.imageGb() / type.fetchGbPerS() * MICROS_PER_SECOND;
+      double fetchMicros = spec.imageGb() / type.fetchGbPerSecond() * MICROS_PER_SECOND;
       if (fetchMicros > maxWaitMicros && worker.hasImage(spec.image())) {
         int shard = worker.shard();
         int capacity = CandidateMachine.of(worker, type).capacityFor(spec);
--- a/src/main/java/gladeknot/scheduling/NodeScorer.java
+++ b/src/main/java/gladeknot/scheduling/NodeScorer.java
@@ -74,7 +74,7 @@
   private static double fetchSeconds(JobSpec spec, CandidateMachine machine) {
     return machine.worker().hasImage(spec.image())
         ? 0
-        : spec.imageGb() / machine.type().fetchGbPerS();
+        : spec.imageGb() / machine.type().fetchGbPerSecond();
   }
 
   private double zonePenalty(JobSpec spec, CandidateMachine machine) {
--- a/src/main/java/gladeknot/workers/MachineType.java
+++ b/src/main/java/gladeknot/workers/MachineType.java
@@ -11,7 +11,7 @@
  * @param gpus GPUs of a machine, in thousandths
  * @param memory memory of a machine, in thousandths of a GB
  * @param cacheGb size of the image cache, in GB
- * @param fetchGbPerS rate at which images are fetched, in GB per second
+ * @param fetchGbPerSecond rate at which images are fetched, in GB per second
  * @param price price of an on-demand instance per hour
  * @param spotPrice price of a spot instance per hour
  * @param bootMicros time that an instance takes to boot, in microseconds
@@ -23,7 +23,7 @@
     long gpus,
     long memory,
     double cacheGb,
-    double fetchGbPerS,
+    double fetchGbPerSecond,
     double price,
     double spotPrice,
     long bootMicros,
--- a/src/test/java/gladeknot/fleet/CloudCodecTest.java
+++ b/src/test/java/gladeknot/fleet/CloudCodecTest.java
@@ -98,7 +98,7 @@
   void machineTypesWithoutRatesGetDefaults() {
     MachineType type =
         CloudCodec.machineTypes(reply(200, "{\"hosttypes\":[{\"label\":\"bare\"}]}")).get(0);
-    assertEquals(0.1, type.fetchGbPerS());
+    assertEquals(0.1, type.fetchGbPerSecond());
     assertEquals(30_000_000, type.bootMicros());
     assertEquals(List.of(), type.zones());
   }
