--- a/src/main/java/gladeknot/fleet/CloudCodec.java
+++ b/src/main/java/gladeknot/fleet/CloudCodec.java
@@ -33,7 +33,7 @@
   private static final double DEFAULT_FETCH_GB_PER_SECOND = 0.1;
 
   /** Boot time assumed for a listed type without one. */
-  private static final double DEFAULT_READY_SECONDS = 30;
+  private static final double DEFAULT_BOOT_SECONDS = 30;
 
   private CloudCodec() {}
 
@@ -134,7 +134,7 @@
         Json.real(type, "fetchGbPerS", DEFAULT_FETCH_GB_PER_SECOND),
         Json.real(type, "rate", 0),
         Json.real(type, "marketPrice", 0),
-        (long) (Json.real(type, "readyS", DEFAULT_READY_SECONDS) * MICROS_PER_SECOND),
+        (long) (Json.real(type, "readyS", DEFAULT_BOOT_SECONDS) * MICROS_PER_SECOND),
         Json.texts(type, "glades"));
   }
 }
--- a/src/main/java/gladeknot/fleet/ScaleIn.java
+++ b/src/main/java/gladeknot/fleet/ScaleIn.java
@@ -35,10 +35,10 @@
   private static final long MIN_CHARGED_MICROS = 55_000_000;
 
   /** Boot time assumed for an unknown machine type. */
-  private static final long DEFAULT_READY_MICROS = 60_000_000;
+  private static final long DEFAULT_BOOT_MICROS = 60_000_000;
 
   /** Time added to the allowed boot time before an instance without heartbeats is given up. */
-  private static final long READY_MARGIN_MICROS = 10_000_000;
+  private static final long BOOT_MARGIN_MICROS = 10_000_000;
 
   /** Reason for the release of an instance. The text appears in log lines. */
   enum Reason {
@@ -141,12 +141,12 @@
    */
   private Optional<Reason> releaseReasonWithoutHeartbeat(Worker worker, int shard, boolean busy) {
     MachineType type = catalog.type(worker.type());
-    long readyMicros = type == null ? DEFAULT_READY_MICROS : type.bootMicros();
+    long bootMicros = type == null ? DEFAULT_BOOT_MICROS : type.bootMicros();
     long ageMicros = Math.max(0, clock.wallMicros() - worker.launchedWallMicros());
     long ownedMicros = clock.nowMicros() - membership.ownedSinceMicros(shard);
     long graceMicros = busy ? health.lossTimeoutMicros() : health.returnGraceMicros();
     // Boots sometimes take longer than listed, so 2.25 times the boot time is allowed.
-    if (ageMicros <= 2 * readyMicros + readyMicros / 4 + READY_MARGIN_MICROS
+    if (ageMicros <= 2 * bootMicros + bootMicros / 4 + BOOT_MARGIN_MICROS
         || ownedMicros <= graceMicros) {
       return Optional.empty();
     }
