--- a/src/main/java/gladeknot/fleet/ScaleOutRound.java
+++ b/src/main/java/gladeknot/fleet/ScaleOutRound.java
@@ -107,7 +107,7 @@
     private void run() {
       while (placed < pending.count() && placedTasks < maxTasks) {
         MachineTimeline machine =
-            pending.starved() ? search.immediate(tasksByZone) : search.earliest(tasksByZone);
+            pending.starving() ? search.immediate(tasksByZone) : search.earliest(tasksByZone);
         long startMicros = search.startMicros();
         if (pending.owned()) {
           Optional<InstanceOffering> offering = offeringIfLate(machine, startMicros);
--- a/src/main/java/gladeknot/fleet/SchedulerView.java
+++ b/src/main/java/gladeknot/fleet/SchedulerView.java
@@ -17,7 +17,7 @@
    * @param shard the shard that the slice belongs to
    * @param count the number of pending tasks that the team's quota allows
    * @param owned whether this controller owns the shard
-   * @param starved whether the job has missed all its deadlines and newer jobs overtake it
+   * @param starving whether the job has missed all its deadlines and newer jobs overtake it
    * @param tasksByZone the number of the job's tasks that run in each zone
    */
   record PendingTasks(
@@ -25,7 +25,7 @@
       int shard,
       int count,
       boolean owned,
-      boolean starved,
+      boolean starving,
       Map<String, Integer> tasksByZone) {}
 
   /** Returns the pending tasks of all shards, in the order in which they would be scheduled. */
