--- a/src/main/java/gladeknot/quota/QuotaAllocator.java
+++ b/src/main/java/gladeknot/quota/QuotaAllocator.java
@@ -129,7 +129,7 @@
   /**
    * Clears a shard's deficits and reservations, which the next scheduling cycle determines again.
    */
-  public void beginPass(int shard) {
+  public void beginCycle(int shard) {
     deficits.clear(shard);
     transfers.clearReservations(shard);
   }
--- a/src/main/java/gladeknot/scheduling/Scheduler.java
+++ b/src/main/java/gladeknot/scheduling/Scheduler.java
@@ -193,7 +193,7 @@
   }
 
   private void runCycle(int shard) {
-    quotaAllocator.beginPass(shard);
+    quotaAllocator.beginCycle(shard);
     preemption.beginCycle();
     deadlineOrder.refresh(
         nowMicros, wallMicros, spec -> deadlineCapacity.taskSlots(spec, nowMicros, wallMicros));
