--- a/src/main/java/gladeknot/membership/ShardTransaction.java
+++ b/src/main/java/gladeknot/membership/ShardTransaction.java
@@ -72,9 +72,10 @@
    *
    * @param newOwner the node that is to own the shard
    * @param incarnation that node's incarnation
-   * @param extraConditions required revisions of further keys, by key
+   * @param extraPreconditions required revisions of further keys, by key
    */
-  boolean trySend(int shard, String newOwner, long incarnation, Map<String, Long> extraConditions) {
+  boolean trySend(
+      int shard, String newOwner, long incarnation, Map<String, Long> extraPreconditions) {
     if (!authority.permits(ControlAction.TRANSFER_SHARD, shard)
         || !stateStore.tryAcquireWrites(WRITE_COUNT, 0)) {
       return false;
@@ -83,16 +84,16 @@
     long lastDrawnTerm = MembershipCodec.termCounter(stateStore.get(counterKey));
     ShardRecord record =
         new ShardRecord(newOwner, incarnation, shards.nextTerm(shard, lastDrawnTerm));
-    Map<String, Long> conditions = new LinkedHashMap<>(extraConditions);
-    conditions.put(table.key(shard), table.revision(shard));
-    conditions.put(counterKey, stateStore.modRevision(counterKey));
-    conditions.put(lease.ownKey(), stateStore.modRevision(lease.ownKey()));
+    Map<String, Long> preconditions = new LinkedHashMap<>(extraPreconditions);
+    preconditions.put(table.key(shard), table.revision(shard));
+    preconditions.put(counterKey, stateStore.modRevision(counterKey));
+    preconditions.put(lease.ownKey(), stateStore.modRevision(lease.ownKey()));
     List<Mutation> writes =
         List.of(
             Mutation.put(table.key(shard), MembershipCodec.encode(record)),
             Mutation.put(counterKey, MembershipCodec.encodeTermCounter(record.term())));
     inFlight = true;
-    stateStore.commit(conditions, writes, outcome -> onOutcome(outcome, shard, record));
+    stateStore.commit(preconditions, writes, outcome -> onOutcome(outcome, shard, record));
     return true;
   }
 
--- a/src/main/java/gladeknot/membership/ShardTransfers.java
+++ b/src/main/java/gladeknot/membership/ShardTransfers.java
@@ -133,8 +133,8 @@
    * Makes this node a shard's owner under a new term, by a transaction. Returns true even if the
    * transaction may not be sent yet, so that the following shards are not checked before it.
    */
-  private boolean take(int shard, Map<String, Long> extraConditions) {
-    transaction.trySend(shard, node, lease.incarnation(), extraConditions);
+  private boolean take(int shard, Map<String, Long> extraPreconditions) {
+    transaction.trySend(shard, node, lease.incarnation(), extraPreconditions);
     return true;
   }
 
--- a/src/main/java/gladeknot/membership/StorageFormat.java
+++ b/src/main/java/gladeknot/membership/StorageFormat.java
@@ -155,9 +155,9 @@
     nextAttemptMicros = nowMicros + COMMIT_INTERVAL_MICROS;
     Optional<Map<String, Long>> upgradedRevisions = revisionsIfAllUpgraded();
     if (upgradedRevisions.isPresent() && stateStore.tryAcquireWrites(1, 0)) {
-      Map<String, Long> conditions = upgradedRevisions.get();
-      conditions.put(MembershipKeys.FORMAT, revision());
-      commit(limits.targetSegmentSplit(), conditions);
+      Map<String, Long> preconditions = upgradedRevisions.get();
+      preconditions.put(MembershipKeys.FORMAT, revision());
+      commit(limits.targetSegmentSplit(), preconditions);
     }
   }
 
@@ -173,11 +173,11 @@
     }
   }
 
-  private void commit(int split, Map<String, Long> conditions) {
+  private void commit(int split, Map<String, Long> preconditions) {
     commitInFlight = true;
     FormatRecord record = new FormatRecord(ANNOUNCED, split);
     stateStore.commit(
-        conditions,
+        preconditions,
         List.of(Mutation.put(MembershipKeys.FORMAT, MembershipCodec.encode(record))),
         outcome -> {
           commitInFlight = false;
