--- a/src/main/java/gladeknot/commit/BatchLimits.java
+++ b/src/main/java/gladeknot/commit/BatchLimits.java
@@ -24,7 +24,8 @@
   private static final double SIZE_FACTOR_STEP = 2;
 
   /**
-   * Number of a slice's preconditions besides job and claims: segment, shard, format, delegation.
+   * Number of a slice's preconditions besides its job and its claims. They concern the segment, the
+   * shard, the storage format and the delegation.
    */
   private static final int COMMON_PRECONDITIONS = 5;
 
@@ -93,7 +94,7 @@
         || batch.preconditions().size() + additional <= maxPreconditions;
   }
 
-  /** Returns whether the zones of a job's tasks restrict where others of its tasks may start. */
+  /** Returns whether the zones of a job's tasks restrict where its further tasks may start. */
   static boolean hasZoneConstraints(Job job) {
     return job.spec().spread() || job.spec().colocated();
   }
--- a/src/main/java/gladeknot/commit/MutationCallback.java
+++ b/src/main/java/gladeknot/commit/MutationCallback.java
@@ -4,10 +4,10 @@
 @FunctionalInterface
 public interface MutationCallback {
   /**
-   * The mutation's outcome is known.
+   * Called once the mutation's outcome is known.
    *
-   * @param committed whether it was committed; if not, it was dropped without any effect, because
-   *     what it was conditional on has changed or because the shard is no longer owned
+   * @param committed whether the mutation was committed; if not, it was dropped without any effect,
+   *     because one of its preconditions no longer held or because the shard is no longer owned
    */
   void onOutcome(boolean committed);
 }
--- a/src/main/java/gladeknot/commit/OutcomeHandler.java
+++ b/src/main/java/gladeknot/commit/OutcomeHandler.java
@@ -135,7 +135,7 @@
         });
   }
 
-  /** Drops changes that depend on conflicting keys; all others of the batch stay pending. */
+  /** Drops changes that depend on conflicting keys; all other changes of the batch stay pending. */
   private void dropConflicting(TransactionBatch batch, List<String> changedKeys) {
     batch.packedKeys().forEach(reloader::refreshSegment);
     for (SliceSnapshot snapshot : batch.slices()) {
--- a/src/main/java/gladeknot/lifecycle/AttemptTracker.java
+++ b/src/main/java/gladeknot/lifecycle/AttemptTracker.java
@@ -206,7 +206,10 @@
     scheduling.request();
   }
 
-  /** Kills the rest of a gang that has lost a task: it makes no progress and must start again. */
+  /**
+   * Kills the remaining tasks of a gang that has lost a task: the gang makes no progress and must
+   * start again.
+   */
   private void killGang(Slice slice) {
     for (Attempt member : slice.attemptsByTask().values()) {
       if (!member.closed() && !member.killRequested()) {
--- a/src/main/java/gladeknot/lifecycle/HeartbeatReconciler.java
+++ b/src/main/java/gladeknot/lifecycle/HeartbeatReconciler.java
@@ -19,8 +19,8 @@
  */
 final class HeartbeatReconciler {
   /**
-   * Margin added to a worker's lease, in microseconds. An incarnation that lasts longer than both
-   * has received an answer.
+   * Margin added to a worker's lease, in microseconds. An incarnation that lasts longer than the
+   * lease and this margin has received an answer.
    */
   private static final long LEASE_MARGIN_MICROS = 3_000_000;
 
@@ -115,7 +115,10 @@
       }
     }
 
-    /** Kills a closed attempt that still runs: it must not run on until its end is committed. */
+    /**
+     * Kills a closed attempt that still runs: the task must not keep running until its end is
+     * committed.
+     */
     private void killIfNotEnded(Heartbeat.TaskStatus status) {
       if (!status.ended()) {
         kills.add(WorkerCommand.Kill.immediately(status.name(), status.attempt()));
--- a/src/main/java/gladeknot/lifecycle/KillDispatcher.java
+++ b/src/main/java/gladeknot/lifecycle/KillDispatcher.java
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Returns whether a kill may be sent now. The kill of a finished job's task is right whichever
-   * controller owns the shard; other kills require authority over the shard.
+   * Returns whether a kill may be sent now. Any controller may kill a finished job's task, whether
+   * or not it owns the shard; other kills require authority over the shard.
    */
   private boolean mayKill(Attempt attempt, int shard) {
     return membership.permits(
--- a/src/main/java/gladeknot/lifecycle/SliceMonitor.java
+++ b/src/main/java/gladeknot/lifecycle/SliceMonitor.java
@@ -32,7 +32,8 @@
   }
 
   /**
-   * Returns the number of times that a job's slices were found to overlap or have several records.
+   * Returns the number of times that the slices of a job were found to overlap or to have several
+   * records.
    */
   long violations() {
     return violations;
--- a/src/main/java/gladeknot/lifecycle/SpotReclaims.java
+++ b/src/main/java/gladeknot/lifecycle/SpotReclaims.java
@@ -12,7 +12,7 @@
 import java.util.List;
 
 /**
- * Decides which tasks are stopped on spot machines that the cloud has announced to reclaim.
+ * Decides which tasks are stopped on spot machines whose reclaim the cloud has announced.
  *
  * <p>A task that still runs when its machine is reclaimed can start elsewhere only after its lease
  * has provably expired. A task that was stopped, and whose end was reported, may start at once.
--- a/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
+++ b/src/main/java/gladeknot/lifecycle/TaskLifecycle.java
@@ -103,7 +103,8 @@
   }
 
   /**
-   * Returns the number of times that a job's slices were found to overlap or have several records.
+   * Returns the number of times that the slices of a job were found to overlap or to have several
+   * records.
    */
   public long sliceViolations() {
     return sliceMonitor.violations();
@@ -175,8 +176,8 @@
   }
 
   /**
-   * Handles jobs whose cancellation another controller has committed. The cache may not show it for
-   * a while, so the jobs' tasks in owned shards are stopped at once.
+   * Handles jobs whose cancellation another controller has committed. The cache may not show the
+   * cancellation for a while, so the jobs' tasks in owned shards are stopped at once.
    */
   public void onCancelledElsewhere(List<String> ids) {
     for (String job : ids) {
--- a/src/main/java/gladeknot/membership/Membership.java
+++ b/src/main/java/gladeknot/membership/Membership.java
@@ -16,11 +16,13 @@
  * shard under which term.
  *
  * <p>A shard's key outlives its owner. One conditional write transfers the ownership. The current
- * owner may make it, or any node once the owner's liveness key, which is attached to the owner's
- * lease, is gone. Each change draws a new term from one global counter.
+ * owner may make this write, or any node once the owner's liveness key, which is attached to the
+ * owner's lease, is gone. Each change draws a new term from one global counter.
  */
 public final class Membership implements Authority.ShardFacts {
-  /** Starts are sent only if the cache is younger than the state lease divided by this. */
+  /**
+   * Divisor of the state lease that gives the maximum age of the cache at which starts are sent.
+   */
   private static final int FRESH_LEASE_DIVISOR = 3;
 
   private final List<String> nodes;
--- a/src/main/java/gladeknot/membership/OwnedShards.java
+++ b/src/main/java/gladeknot/membership/OwnedShards.java
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Records that no earlier transaction for a shard is in doubt any more. */
+  /** Records that the outcomes of all earlier transactions for a shard are known. */
   void clearDoubt(int shard) {
     inDoubt.remove(shard);
   }
@@ -126,7 +126,7 @@
 
   /**
    * Compares the term of a shard whose key names this controller with the terms that this
-   * controller last observed and wrote. If the term is neither of them, another node may have owned
+   * controller last observed and wrote. If the term differs from both, another node may have owned
    * the shard in between, and the shard is released.
    */
   void observeTerm(int shard) {
--- a/src/main/java/gladeknot/membership/ShardTransaction.java
+++ b/src/main/java/gladeknot/membership/ShardTransaction.java
@@ -122,7 +122,7 @@
     shards.onWritten(shard, record.term());
     if (record.owner().equals(node)) {
       // The new term voids earlier transactions in doubt that were not executed. Wait until the
-      // cache holds those that were.
+      // cache holds those that were executed.
       stateStore.whenRevisionReached(revision, () -> onTaken(shard, record.incarnation()));
     } else {
       inFlight = false;
--- a/src/main/java/gladeknot/membership/StorageFormat.java
+++ b/src/main/java/gladeknot/membership/StorageFormat.java
@@ -16,11 +16,12 @@
  * The format in which records are stored, agreed on by all controllers.
  *
  * <p>The first version of this program writes no storage format. Later versions announce their
- * format with their liveness key. Once all members do, and each shard is owned by a live
- * incarnation of a member, one member commits the storage format, conditional on all their liveness
- * and shard keys. From then on, no process of the first version runs. No transaction that such a
- * process may have sent can still be executed, because each is conditional on a shard's key that
- * has changed since. Every write of slices is conditional on the revision of the storage format.
+ * format with their liveness key. Once all members have announced it, and each shard is owned by a
+ * live incarnation of a member, one member commits the storage format, conditional on all their
+ * liveness and shard keys. From then on, no process of the first version runs. No transaction that
+ * such a process may have sent can still be executed, because each is conditional on a shard's key
+ * that has changed since. Every write of slices is conditional on the revision of the storage
+ * format.
  *
  * <p>A storage format comes into force in this controller once the watch has reached its revision.
  * The watch cache shows this controller's own commit earlier, ahead of records that other
@@ -129,8 +130,9 @@
   }
 
   /**
-   * Records that a segment is too full to hold tasks that there are machines for. Segments are then
-   * split, so that the size limit of a stored value does not bound the number of running tasks.
+   * Records that a segment is too full to hold further tasks although machines for them exist.
+   * Segments are then split, so that the size limit of a stored value does not bound the number of
+   * running tasks.
    */
   public void reportSegmentFull() {
     segmentFull = true;
--- a/src/main/java/gladeknot/quota/QuotaAllocator.java
+++ b/src/main/java/gladeknot/quota/QuotaAllocator.java
@@ -61,7 +61,8 @@
   }
 
   /**
-   * Returns the amount that a shard may still start for a team; negative if it exceeds its share.
+   * Returns the amount that a shard may still start for a team; negative if the shard exceeds its
+   * share.
    */
   public ResourceAmount available(String team, int shard) {
     return ledger.available(team, shard);
@@ -145,8 +146,9 @@
   }
 
   /**
-   * Applies the deficits that another controller announced for its shard. Announcements for owned
-   * shards and under other terms than the current one, as by an earlier owner, are ignored.
+   * Applies the deficits that another controller announced for its shard. Ignores announcements for
+   * shards that this controller owns, and announcements under another term than the current one,
+   * such as those of an earlier owner.
    */
   public void onPeerMessage(PeerMessage message) {
     if (message.shard() >= membership.shardCount()
--- a/src/main/java/gladeknot/quota/QuotaLedger.java
+++ b/src/main/java/gladeknot/quota/QuotaLedger.java
@@ -19,7 +19,9 @@
  * then the shard's record holds the attempt, and the next owner of the shard may start it again.
  */
 final class QuotaLedger {
-  /** Share of a resource that the team has no limit of; the sum over all shards fits a long. */
+  /**
+   * Share of a resource that the team's limits don't restrict; the sum over all shards fits a long.
+   */
   private static final long UNLIMITED_SHARE = Long.MAX_VALUE >> 20;
 
   private final Settings settings;
@@ -66,8 +68,8 @@
   }
 
   /**
-   * Returns what a shard may use for a team: the committed share of resources that the team has a
-   * limit of, and an unlimited amount of others. It is zero for a team without settings.
+   * Returns what a shard may use for a team: the committed share of limited resources, and an
+   * unlimited amount of all other resources. It is zero for a team without settings.
    */
   ResourceAmount share(String team, int shard) {
     Settings.Team limits = settings.teams().get(team);
@@ -179,7 +181,10 @@
     return true;
   }
 
-  /** Makes an amount that a shard transfers unavailable to the shard, committed or not. */
+  /**
+   * Makes an amount that a shard transfers unavailable to the shard, even before the transfer is
+   * committed.
+   */
   void beginTransfer(String team, int shard, ResourceAmount amount) {
     pendingTransfers.put(new TeamShard(team, shard), amount);
   }
--- a/src/main/java/gladeknot/quota/QuotaRecord.java
+++ b/src/main/java/gladeknot/quota/QuotaRecord.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * A team's stored shares by shard. A share is proven if the record holds it as an amount. What a
- * shard with an unproven share uses is not known from the record until the shard's owner has
- * written it.
+ * A team's stored shares by shard. A share is proven if the record holds it as an amount. If a
+ * share is unproven, the record does not show the shard's usage until the shard's owner has written
+ * it.
  *
  * @param shares the share of each shard, in the order of the shards; empty if it is unproven
  */
--- a/src/main/java/gladeknot/quota/QuotaTransfers.java
+++ b/src/main/java/gladeknot/quota/QuotaTransfers.java
@@ -63,8 +63,8 @@
           || !isDue(name, shard, recipient, nowMicros)) {
         continue;
       }
-      // If the shard has a deficit, what is left of its share is too small for any of its own
-      // tasks. That remainder goes only to shards with lower numbers, so that it never moves in
+      // If the shard has a deficit, the unused remainder of its share is too small for any of its
+      // own tasks. The remainder goes only to shards with lower numbers, so that it never moves in
       // circles.
       boolean unusable = deficits.contains(name, shard) && recipient < shard;
       ResourceAmount offered = unusable ? unreserved.atLeastZero() : surplus;
--- a/src/main/java/gladeknot/scheduling/CapacityReserver.java
+++ b/src/main/java/gladeknot/scheduling/CapacityReserver.java
@@ -85,10 +85,10 @@
   }
 
   /**
-   * Returns the request that determines which tasks may be preempted for a slice now; null if none
-   * may be. Shards that have free resources should start the tasks first. A shard that would have
-   * to preempt for another shard's tasks therefore waits longer than that shard and the shards
-   * between the two in the order of shards.
+   * Returns the request that determines which tasks may be preempted for a slice now; null if no
+   * task may be preempted. Shards that have free resources should start the tasks first. A shard
+   * that would have to preempt for another shard's tasks therefore waits longer than that shard and
+   * the shards between the two in the order of shards.
    */
   private PreemptionRequest preemptionRequest(PendingSlice pending, SchedulingCycle cycle) {
     boolean remoteInFlight = pending.remote() && committer.isInFlight(pending.slice());
--- a/src/main/java/gladeknot/scheduling/DeadlineOrder.java
+++ b/src/main/java/gladeknot/scheduling/DeadlineOrder.java
@@ -196,10 +196,10 @@
   }
 
   /**
-   * Sets the keys of jobs whose next objective other than a deadline is at risk, so that they come
-   * among the first again. An objective is at risk when most of the time for it has passed. Without
-   * this, the largest jobs, which are deferred for their deadlines, would wait until an overload
-   * ends, however long it lasts.
+   * Sets the keys of jobs whose next objective other than a deadline is at risk, so that they are
+   * ordered by that objective, among the first jobs. An objective is at risk when most of the time
+   * for it has passed. Without this, the largest jobs, which are deferred for their deadlines,
+   * would wait until an overload ends, however long it lasts.
    *
    * @param others receives the jobs without an objective at risk
    * @return the work of the jobs with an objective at risk, in microseconds
@@ -221,8 +221,8 @@
 
   /**
    * Returns the time of day by which a job must end for its next objective that is at risk, apart
-   * from deadlines. Returns 0 if there is no other objective that can still be met, or if more than
-   * the fraction {@link Policy.Name#LAST_CALL} of the time for it is left.
+   * from deadlines. Returns 0 if no such objective can still be met, or if more than the fraction
+   * {@link Policy.Name#LAST_CALL} of the time for it is left.
    */
   private long dueMicrosAtRisk(Job job, long wallMicros) {
     long runMicros = estimates.runMicros(job.spec());
--- a/src/main/java/gladeknot/scheduling/GangReservations.java
+++ b/src/main/java/gladeknot/scheduling/GangReservations.java
@@ -25,10 +25,11 @@
   }
 
   /**
-   * Reserves the remaining quota for a gang that needs more. If jobs that come after the gang used
-   * it, the gang might never get all the quota that it needs. For a starving gang, all shards that
-   * could claim it reserve quota in rotation: if two shards each reserved a part, neither would
-   * ever have enough. For a starving gang, machines are reserved as well.
+   * Reserves the remaining quota for a gang that requires more quota than remains. Otherwise jobs
+   * that come after the gang could use the remaining quota, and the gang might never get enough.
+   * For a starving gang, the shards that could claim it reserve quota in rotation: if two shards
+   * each reserved a part, neither would ever have enough. For a starving gang, machines are
+   * reserved as well.
    *
    * @param pendingTasks the number of the gang's pending tasks
    * @param allowed the number of these tasks that the remaining quota allows
@@ -50,10 +51,10 @@
   }
 
   /**
-   * Reserves machines for the tasks of a gang that can't get resources by preemption, so that the
-   * gang gets what becomes free there. The resources of these tasks are allocated for the rest of
-   * the cycle, whether they are free or not. For a colocated gang, the machines are those of the
-   * zone that can run most of its tasks.
+   * Reserves machines for the tasks of a gang that can't get resources by preemption, so that
+   * resources that become free there go to the gang. The resources of these tasks are allocated for
+   * the rest of the cycle, whether they are free or not. For a colocated gang, the machines are
+   * those of the zone that can run most of its tasks.
    *
    * @param count the number of tasks to reserve for
    */
--- a/src/main/java/gladeknot/scheduling/Preemption.java
+++ b/src/main/java/gladeknot/scheduling/Preemption.java
@@ -17,8 +17,8 @@
 import java.util.function.Function;
 
 /**
- * Determines which tasks may be preempted for a job. These are tasks of lower priority and, for a
- * job within the guarantee of its team, tasks that other teams run beyond their guarantees.
+ * Determines which tasks may be preempted for a job. These are the tasks of lower priority and, for
+ * a job within the guarantee of its team, tasks that other teams run beyond their guarantees.
  */
 final class Preemption {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -68,7 +68,7 @@
    * Tasks to preempt on one machine.
    *
    * @param victims the tasks to preempt; empty if terminating tasks free enough resources
-   * @param lossSeconds the total loss by their preemption, in seconds of work
+   * @param lossSeconds the total loss by their preemption, in seconds of machine time
    */
   record Plan(List<Attempt> victims, double lossSeconds) {
     /** A plan that preempts nothing. */
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Returns whether any task on the workers may be preempted. Usually none may be. The result is
-   * cached, so that one search in each cycle serves all jobs with an equal request.
+   * Returns whether any task on the workers may be preempted. Usually there is no such task. The
+   * result is cached, so that one search in each cycle serves all jobs with an equal request.
    */
   boolean hasVictims(PreemptionRequest request, Collection<Worker> workers, long nowMicros) {
     return hasVictims.computeIfAbsent(request, key -> findVictim(key, workers, nowMicros));
@@ -124,7 +124,7 @@
         && guarantees.isBeyondGuarantee(attempt.slice());
   }
 
-  /** Returns the loss by preempting a task, in seconds of its machine's work. */
+  /** Returns the loss by preempting a task, in seconds of machine time. */
   private double lossSeconds(Attempt attempt, long nowMicros) {
     if (attempt.runningSinceMicros() == 0) {
       return NOT_RUNNING_LOSS_SECONDS;
@@ -137,7 +137,7 @@
                 ranSeconds,
                 CHECKPOINT_OVERHEAD_SECONDS + spec.checkpointMicros() / MICROS_PER_SECOND)
             : ranSeconds;
-    // A task with GPUs uses more of its machine, so more of the machine's work is lost.
+    // A task with GPUs uses more of its machine, so more machine time is lost.
     return (lostSeconds + RESTART_LOSS_SECONDS)
         * (1 + attempt.slice().gpus() / THOUSANDTHS_PER_GPU);
   }
--- a/src/main/java/gladeknot/scheduling/ScaleOutDemand.java
+++ b/src/main/java/gladeknot/scheduling/ScaleOutDemand.java
@@ -64,8 +64,8 @@
   private long runnableTasks(PendingSlice pending, ResourceAmount available) {
     JobSpec spec = pending.spec();
     long count = pending.slice().pendingCount();
-    // The limit does not apply to starving jobs that are kept in one slice: quota will be reserved
-    // for them, and they must have machines by then.
+    // The limit does not apply to starving jobs that are kept in one slice. Quota will be reserved
+    // for these jobs, and their machines must have booted by then.
     if (!pending.starving() || !spec.unsplit()) {
       // Tasks that can't run in any shard because of their team's limit require no machine.
       count = Math.min(count, RemainingQuota.tasksWithin(available, spec));
--- a/src/main/java/gladeknot/scheduling/Scheduler.java
+++ b/src/main/java/gladeknot/scheduling/Scheduler.java
@@ -51,7 +51,7 @@
   private static final long START_DELAY_MICROS = 4_000_000;
 
   /**
-   * Expected time until a task exits that is being terminated or whose job is over, in
+   * Expected time until a task exits that is being terminated or whose job is finished, in
    * microseconds.
    */
   private static final long TERMINATION_DELAY_MICROS = 1_000_000;
@@ -62,10 +62,10 @@
    */
   private static final int MIN_REMAINING_RUN_DIVISOR = 10;
 
-  /** Estimated run time, in microseconds, from which on the end of a task counts as unknown. */
+  /** Estimated run time, in microseconds, at or above which the end of a task counts as unknown. */
   private static final long UNKNOWN_RUN_MICROS = Long.MAX_VALUE / 4;
 
-  /** Number of consecutive failed attempts from which on a machine gets no new tasks. */
+  /** Number of consecutive failed attempts at which a machine stops getting new tasks. */
   private static final int MAX_CONSECUTIVE_FAILURES = 4;
 
   /** Maximum age of a schedulable worker's heartbeat, in intervals: a worker may miss one. */
@@ -285,7 +285,7 @@
 
   /**
    * Returns the priority that protects a running task from preemption, which may be inherited; idle
-   * if its job is over.
+   * if the task's job is finished.
    */
   public JobSpec.Priority priority(Attempt attempt) {
     Job job = jobs.active(attempt.slice().job());
--- a/src/main/java/gladeknot/scheduling/SchedulingCycle.java
+++ b/src/main/java/gladeknot/scheduling/SchedulingCycle.java
@@ -100,8 +100,8 @@
 
   /**
    * Requests quota for pending tasks that exceed it. Only tasks for which the machines have free
-   * resources, or may get some by preemption, count. For a gang that has any such task, all its
-   * tasks count.
+   * resources, or may get some by preemption, count. If a gang has any such task, all tasks of the
+   * gang count.
    */
   void requestQuota(JobSpec spec, int pendingTasks, int allowedTasks) {
     long capacity = capacityFor(spec, pendingTasks);
