--- a/src/main/java/gladeknot/connectivity/Authority.java
+++ b/src/main/java/gladeknot/connectivity/Authority.java
@@ -67,7 +67,7 @@
     return true;
   }
 
-  /** Returns why users get no answers other than final ones; null if they get them. */
+  /** Returns the reason why users get only final answers; null if they get all answers. */
   public String refusal() {
     return stateLink.usable() ? null : describe(Requirement.STATE_LINK);
   }
--- a/src/main/java/gladeknot/connectivity/DirectionHealth.java
+++ b/src/main/java/gladeknot/connectivity/DirectionHealth.java
@@ -32,7 +32,9 @@
     }
   }
 
-  /** Records that a message sent at the given time should have been proved by now and is not. */
+  /**
+   * Records that a message sent at the given time should have been proved by now but has not been.
+   */
   void recordOverdue(long sentMicros) {
     if (sentMicros > provenMicros
         && (overdueMicros == NEVER_MICROS || sentMicros < overdueMicros)) {
--- a/src/main/java/gladeknot/fleet/Forecast.java
+++ b/src/main/java/gladeknot/fleet/Forecast.java
@@ -13,7 +13,7 @@
  * are placed one after the other, in the order in which they would be scheduled.
  */
 final class Forecast {
-  /** A time that never comes. It is small enough for durations to be added without overflow. */
+  /** Time that is never reached. It is small enough for durations to be added without overflow. */
   static final long NEVER = Long.MAX_VALUE / 4;
 
   /** Stands for the machines of all shards in place of a shard's number. */
--- a/src/main/java/gladeknot/fleet/ScaleOutRound.java
+++ b/src/main/java/gladeknot/fleet/ScaleOutRound.java
@@ -162,7 +162,8 @@
         int remaining = Math.min(pending.count() - placed, maxTasks - placedTasks);
         count = (int) Math.max(1, Math.min(remaining, machine.fittingTasks(spec, startMicros)));
       }
-      // A gang's tasks run at the same time, so none can use resources that another one frees.
+      // A gang's tasks run at the same time, so no task can use resources that another task of the
+      // gang frees.
       forecast.place(machine, spec, startMicros, gang ? Forecast.NEVER : runMicros, count);
       tasksByZone.merge(machine.zone(), count, Integer::sum);
       placed += count;
--- a/src/main/java/gladeknot/http/IdleConnections.java
+++ b/src/main/java/gladeknot/http/IdleConnections.java
@@ -41,7 +41,10 @@
     return channel;
   }
 
-  /** Adds a connection; if there are then too many, closes the one idle for longest. */
+  /**
+   * Adds a connection; if there are then too many, closes the connection that has been idle for
+   * longest.
+   */
   void add(String address, Channel channel) {
     ArrayDeque<Channel> idle = byAddress.computeIfAbsent(address, absent -> new ArrayDeque<>());
     idle.addLast(channel);
--- a/src/main/java/gladeknot/membership/StorageFormat.java
+++ b/src/main/java/gladeknot/membership/StorageFormat.java
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Returns whether the watch cache shows a newer storage format than the one in force. A
-   * transaction that is conditional on the one in force would then fail.
+   * Returns whether the watch cache shows a newer storage format than the format in force. A
+   * transaction that is conditional on the format in force would then fail.
    */
   public boolean isSuperseded() {
     return newestEntry != entryInForce;
--- a/src/main/java/gladeknot/peer/PeerLinks.java
+++ b/src/main/java/gladeknot/peer/PeerLinks.java
@@ -28,8 +28,8 @@
 
 /**
  * Connections between controllers. Each controller opens a connection to every other controller for
- * the messages that it sends, and receives on the connections that the others open. Runs on the
- * event loop's thread.
+ * the messages that it sends, and receives on the connections that the other controllers open. Runs
+ * on the event loop's thread.
  */
 public final class PeerLinks {
   private static final Logger LOG = LoggerFactory.getLogger(PeerLinks.class);
--- a/src/main/java/gladeknot/state/CacheSynchronizer.java
+++ b/src/main/java/gladeknot/state/CacheSynchronizer.java
@@ -13,8 +13,8 @@
  * Keeps the watch cache current: lists all keys once, then watches them with long polls. If the
  * service has compacted the starting revision of a watch, the keys are listed again.
  *
- * <p>Each page of a list may be read at a later revision than the one before it. After such a list,
- * the cache may contain the changes of a transaction for some of its keys but not for others.
+ * <p>Each page of a list may be read at a later revision than the page before it. After such a
+ * list, the cache may contain the changes of a transaction for some of its keys but not for others.
  * Therefore the cache counts as loaded only once the watch has reached the revision of the last
  * page.
  */
--- a/src/main/java/gladeknot/tasks/AttemptCodec.java
+++ b/src/main/java/gladeknot/tasks/AttemptCodec.java
@@ -14,7 +14,7 @@
  * The compact form is {@code ~PREFIX:WIDTH:DATA}. {@code PREFIX} is the part of the host names
  * before their trailing digits, which all hosts share. {@code WIDTH} is the number of trailing
  * digits. {@code DATA} holds, in Base64, the differences in task, attempt number and host number
- * between each attempt and the one before it, as variable-length integers.
+ * between each attempt and the attempt before it, as variable-length integers.
  */
 final class AttemptCodec {
   /** An attempt in a stored record. */
--- a/src/main/java/gladeknot/tasks/RuntimeEstimates.java
+++ b/src/main/java/gladeknot/tasks/RuntimeEstimates.java
@@ -114,7 +114,8 @@
     }
     RunTotal total = totalsByJob.get(spec.id());
     if (total != null) {
-      // Tasks of one job are similar: the completed ones predict the others.
+      // Tasks of one job are similar: the completed tasks predict the run times of the remaining
+      // tasks.
       return total.meanMicros();
     }
     RunRatio ratio = ratiosByClass.get(spec.jobClass());
--- a/src/main/java/gladeknot/tasks/SegmentIndex.java
+++ b/src/main/java/gladeknot/tasks/SegmentIndex.java
@@ -158,9 +158,9 @@
   }
 
   /**
-   * Returns the stored record of a slice. If there are duplicates, returns the one in the segment
-   * that the current layout selects, or else the one with the lowest key, so that all controllers
-   * agree.
+   * Returns the stored record of a slice. If there are duplicates, returns the record in the
+   * segment that the current layout selects, or else the record with the lowest key, so that all
+   * controllers agree.
    */
   Optional<StoredRecord> find(int shard, String job) {
     SortedSet<String> duplicateKeys = duplicates.get(shard).get(job);
--- a/src/main/java/gladeknot/workers/ImageCache.java
+++ b/src/main/java/gladeknot/workers/ImageCache.java
@@ -14,7 +14,8 @@
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
   /**
-   * Records the use of an image, and evicts the least recently used images until the others fit.
+   * Records the use of an image, and evicts the least recently used images until the remaining
+   * images fit.
    */
   void use(String image, double imageGb, double cacheGb) {
     Double knownGb = sizes.put(image, imageGb);
--- a/src/main/java/gladeknot/workers/RemoteHeartbeats.java
+++ b/src/main/java/gladeknot/workers/RemoteHeartbeats.java
@@ -96,9 +96,9 @@
   /**
    * Renews a worker's lease on behalf of the owner. The read barrier comes after the heartbeat. The
    * cache then shows any ownership transfer since the heartbeat was sent, and every cancellation
-   * committed by then. Tasks of finished jobs are killed. Otherwise a series of delegations could
-   * keep a cancelled task running beyond its allowed time. All other commands are left to the
-   * owner.
+   * committed before the barrier. Tasks of finished jobs are killed. Otherwise a series of
+   * delegations could keep a cancelled task running beyond its allowed time. All other commands are
+   * left to the owner.
    */
   private void answerAsDelegate(long request, Heartbeat heartbeat, int shard, long term) {
     stateStore.readBarrier(
--- a/src/main/java/gladeknot/workers/Worker.java
+++ b/src/main/java/gladeknot/workers/Worker.java
@@ -240,7 +240,8 @@
   // Images.
 
   /**
-   * Records the use of an image, and evicts the least recently used images until the others fit.
+   * Records the use of an image, and evicts the least recently used images until the remaining
+   * images fit.
    */
   public void cacheImage(String image, double imageGb, double cacheGb) {
     imageCache.use(image, imageGb, cacheGb);
--- a/src/main/java/gladeknot/workers/WorkerReachability.java
+++ b/src/main/java/gladeknot/workers/WorkerReachability.java
@@ -24,8 +24,8 @@
 
   /**
    * Updates the state from the incarnation of the newest heartbeat. An incarnation that lasts
-   * longer than a lease has received answers, so the missing ones were only late. An incarnation
-   * that has ended in the meantime has not received them.
+   * longer than a lease has received answers, so the missing answers were only late. An incarnation
+   * that has ended in the meantime has not received its answers.
    */
   void update(long newestIncarnation, long nowMicros, long leaseMicros) {
     if (!unreachable) {
