--- a/src/main/java/gladeknot/membership/OwnedShards.java
+++ b/src/main/java/gladeknot/membership/OwnedShards.java
@@ -87,7 +87,7 @@
    * Records that a transaction that hands a shard over was sent. This controller takes no action
    * for the shard until the outcome is known.
    */
-  void beginHandOver(int shard) {
+  void beginHandover(int shard) {
     handingOver.add(shard);
   }
 
--- a/src/main/java/gladeknot/membership/ShardTransfers.java
+++ b/src/main/java/gladeknot/membership/ShardTransfers.java
@@ -167,7 +167,7 @@
     long incarnation = MembershipCodec.liveness(entry).incarnation();
     Map<String, Long> livenessCondition = Map.of(liveness, entry.modRevision());
     if (transaction.trySend(shard, successor, incarnation, livenessCondition)) {
-      shards.beginHandOver(shard);
+      shards.beginHandover(shard);
     }
     return true;
   }
--- a/src/test/java/gladeknot/membership/OwnedShardsTest.java
+++ b/src/test/java/gladeknot/membership/OwnedShardsTest.java
@@ -68,7 +68,7 @@
   @Test
   void shardIsHeldAgainUnderNewTermAfterFailedHandover() {
     shards.acquire(SHARD, 0);
-    shards.beginHandOver(SHARD);
+    shards.beginHandover(SHARD);
     assertFalse(shards.held(SHARD));
     shards.onWritten(SHARD, shards.nextTerm(SHARD, 4));
     assertTrue(shards.held(SHARD));
