--- a/src/main/java/gladeknot/commit/CommitState.java
+++ b/src/main/java/gladeknot/commit/CommitState.java
@@ -13,8 +13,8 @@
     return nowMicros;
   }
 
-  void tick(long now) {
-    nowMicros = now;
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
   }
 
   /** Returns the admission check for starts and ends, applied when a transaction is built. */
--- a/src/main/java/gladeknot/fleet/InstanceOffering.java
+++ b/src/main/java/gladeknot/fleet/InstanceOffering.java
@@ -44,7 +44,7 @@
     return type.price(spot);
   }
 
-  /** Replaces the type by the type as the cloud lists it now. The backoff stays. */
+  /** Updates the type to the cloud's current listing. The backoff stays. */
   void updateType(MachineType listed) {
     type = listed;
   }
--- a/src/main/java/gladeknot/jobs/DependencyGraph.java
+++ b/src/main/java/gladeknot/jobs/DependencyGraph.java
@@ -40,7 +40,7 @@
     this.finishedJobs = finishedJobs;
   }
 
-  /** Returns the held jobs, in the order in which they were held, the earliest first. */
+  /** Returns the held jobs, in the order in which they became held. */
   Collection<Job> held() {
     return heldJobs.values().stream().map(heldJob -> heldJob.job).toList();
   }
--- a/src/main/java/gladeknot/jobs/RequestCommitter.java
+++ b/src/main/java/gladeknot/jobs/RequestCommitter.java
@@ -91,10 +91,10 @@
   }
 
   /** Refuses requests that have waited for too long, and commits others if possible. */
-  void tick(long now, long wall) {
-    nowMicros = now;
-    wallMicros = wall;
-    while (!queue.isEmpty() && now - queue.peek().sinceMicros() > MAX_WAIT_MICROS) {
+  void tick(long currentMicros, long currentWallMicros) {
+    nowMicros = currentMicros;
+    wallMicros = currentWallMicros;
+    while (!queue.isEmpty() && currentMicros - queue.peek().sinceMicros() > MAX_WAIT_MICROS) {
       refuse(queue.poll(), "not committed in time");
     }
     flush();
--- a/src/main/java/gladeknot/lifecycle/AttemptTracker.java
+++ b/src/main/java/gladeknot/lifecycle/AttemptTracker.java
@@ -77,8 +77,8 @@
     this.scheduling = scheduling;
   }
 
-  void setTime(long now) {
-    nowMicros = now;
+  void setTime(long currentMicros) {
+    nowMicros = currentMicros;
   }
 
   long nowMicros() {
--- a/src/main/java/gladeknot/lifecycle/KillDispatcher.java
+++ b/src/main/java/gladeknot/lifecycle/KillDispatcher.java
@@ -90,14 +90,14 @@
   }
 
   /** Sends the kills that are due, and drops those that are no longer needed. */
-  void tick(long now) {
-    nowMicros = now;
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
     if (pendingByHost.isEmpty()) {
       return;
     }
     for (Map.Entry<String, PendingKills> entry : List.copyOf(pendingByHost.entrySet())) {
       PendingKills pending = entry.getValue();
-      if (!pending.isDue(now)) {
+      if (!pending.isDue(currentMicros)) {
         continue;
       }
       pending.attempts.removeIf(attempt -> !isStillNeeded(attempt));
--- a/src/main/java/gladeknot/scheduling/Scheduler.java
+++ b/src/main/java/gladeknot/scheduling/Scheduler.java
@@ -156,10 +156,11 @@
    * Runs a round of cycles if the interval between rounds has passed and either an event requires a
    * round or the maximum idle time has passed.
    */
-  public void tick(long now, long wall) {
-    nowMicros = now;
-    wallMicros = wall;
-    if (now < nextRoundMicros || (now < idleUntilMicros && !lifecycle.takeSchedulingNeeded())) {
+  public void tick(long currentMicros, long currentWallMicros) {
+    nowMicros = currentMicros;
+    wallMicros = currentWallMicros;
+    if (currentMicros < nextRoundMicros
+        || (currentMicros < idleUntilMicros && !lifecycle.takeSchedulingNeeded())) {
       return;
     }
     runRound();
--- a/src/main/java/gladeknot/state/CacheLag.java
+++ b/src/main/java/gladeknot/state/CacheLag.java
@@ -29,12 +29,12 @@
    * Advances the time. Logs the longest lag if it has changed, at most once per {@link
    * #LOG_INTERVAL_MICROS}.
    */
-  void tick(long now) {
-    nowMicros = now;
-    if (now < nextLogMicros || longestMicros() == loggedMicros) {
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
+    if (currentMicros < nextLogMicros || longestMicros() == loggedMicros) {
       return;
     }
-    nextLogMicros = now + LOG_INTERVAL_MICROS;
+    nextLogMicros = currentMicros + LOG_INTERVAL_MICROS;
     loggedMicros = longestMicros();
     LOG.info(
         "copy lag longest_ms={} revision={} newest_commit={}",
--- a/src/main/java/gladeknot/state/CacheSynchronizer.java
+++ b/src/main/java/gladeknot/state/CacheSynchronizer.java
@@ -84,15 +84,15 @@
   }
 
   /** Starts a list or a watch when one is due. */
-  void tick(long now) {
-    nowMicros = now;
-    if (!listed && !listing && now >= backOffUntilMicros) {
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
+    if (!listed && !listing && currentMicros >= backOffUntilMicros) {
       listing = true;
       listedEntries = new TreeMap<>();
       listedRevision = UNKNOWN_REVISION;
       list("");
     }
-    if (listed && !watching && now >= Math.max(backOffUntilMicros, nextWatchMicros)) {
+    if (listed && !watching && currentMicros >= Math.max(backOffUntilMicros, nextWatchMicros)) {
       watch();
     }
   }
--- a/src/main/java/gladeknot/state/RequestLimits.java
+++ b/src/main/java/gladeknot/state/RequestLimits.java
@@ -48,11 +48,11 @@
   }
 
   /** Advances the time and applies changes of the limits in force. */
-  void tick(long now) {
-    nowMicros = now;
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
     if (writesPerSecond != limits.writesPerSecond()) {
       writesPerSecond = limits.writesPerSecond();
-      writes.setRate(writesPerSecond * writeShare, now);
+      writes.setRate(writesPerSecond * writeShare, currentMicros);
     }
   }
 
--- a/src/main/java/gladeknot/state/StateStore.java
+++ b/src/main/java/gladeknot/state/StateStore.java
@@ -116,15 +116,15 @@
   }
 
   /** Advances the time, and starts the lists, watches and barrier reads that are due. */
-  public void tick(long now) {
-    nowMicros = now;
-    lag.tick(now);
-    requestLimits.tick(now);
-    synchronizer.tick(now);
-    if (loaded() && barriers.readDue(now) && requestLimits.tryAcquireRead()) {
+  public void tick(long currentMicros) {
+    nowMicros = currentMicros;
+    lag.tick(currentMicros);
+    requestLimits.tick(currentMicros);
+    synchronizer.tick(currentMicros);
+    if (loaded() && barriers.readDue(currentMicros) && requestLimits.tryAcquireRead()) {
       readForBarriers();
     }
-    barriers.expire(now);
+    barriers.expire(currentMicros);
   }
 
   private void readForBarriers() {
--- a/src/main/java/gladeknot/tasks/SliceRegistry.java
+++ b/src/main/java/gladeknot/tasks/SliceRegistry.java
@@ -51,8 +51,8 @@
   }
 
   /** Advances the registry's clock, in microseconds of the steady clock. */
-  public void tick(long now) {
-    nowMicros = now;
+  public void tick(long currentMicros) {
+    nowMicros = currentMicros;
   }
 
   /** Returns the index of the segments that the slices are loaded from. */
--- a/src/main/java/gladeknot/workers/HeartbeatHandler.java
+++ b/src/main/java/gladeknot/workers/HeartbeatHandler.java
@@ -87,10 +87,10 @@
   }
 
   /** Sets the current time and answers held heartbeats that need not wait any longer. */
-  public void tick(long now) {
-    nowMicros = now;
-    remoteHeartbeats.tick(now);
-    longPolls.tick(now);
+  public void tick(long currentMicros) {
+    nowMicros = currentMicros;
+    remoteHeartbeats.tick(currentMicros);
+    longPolls.tick(currentMicros);
   }
 
   /** Answers heartbeats that were held for a commit that has now ended. */
--- a/src/main/java/gladeknot/workers/LongPolls.java
+++ b/src/main/java/gladeknot/workers/LongPolls.java
@@ -97,10 +97,10 @@
    * Sets the current time and, once in each interval, answers held heartbeats that need not wait
    * any longer.
    */
-  void tick(long now) {
-    nowMicros = now;
-    if (now >= nextReleaseMicros) {
-      nextReleaseMicros = now + RELEASE_INTERVAL_MICROS;
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
+    if (currentMicros >= nextReleaseMicros) {
+      nextReleaseMicros = currentMicros + RELEASE_INTERVAL_MICROS;
       release();
     }
   }
@@ -112,12 +112,12 @@
    *     to start
    */
   boolean hold(long request, Worker worker, Heartbeat heartbeat, boolean steady) {
-    long steadyUntil = steady ? nowMicros + steadyWaitMicros : 0;
-    long deadline = Math.max(nowMicros, steadyUntil) + commitWaitMicros;
+    long steadyUntilMicros = steady ? nowMicros + steadyWaitMicros : 0;
+    long deadlineMicros = Math.max(nowMicros, steadyUntilMicros) + commitWaitMicros;
     long round = reconciler.requestScheduling();
     HeldHeartbeat heldHeartbeat =
-        new HeldHeartbeat(request, worker, heartbeat, round, deadline, steadyUntil);
-    if (isStartPending(heldHeartbeat) || nowMicros < steadyUntil) {
+        new HeldHeartbeat(request, worker, heartbeat, round, deadlineMicros, steadyUntilMicros);
+    if (isStartPending(heldHeartbeat) || nowMicros < steadyUntilMicros) {
       held.add(heldHeartbeat);
       return true;
     }
--- a/src/main/java/gladeknot/workers/RemoteHeartbeats.java
+++ b/src/main/java/gladeknot/workers/RemoteHeartbeats.java
@@ -48,11 +48,13 @@
   }
 
   /** Sets the current time and forgets redirects that are older than the return window. */
-  void tick(long now) {
-    nowMicros = now;
-    if (now >= nextSweepMicros) {
-      nextSweepMicros = now + RETURN_WINDOW_MICROS;
-      redirectedMicros.values().removeIf(redirected -> now - redirected > RETURN_WINDOW_MICROS);
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
+    if (currentMicros >= nextSweepMicros) {
+      nextSweepMicros = currentMicros + RETURN_WINDOW_MICROS;
+      redirectedMicros
+          .values()
+          .removeIf(redirected -> currentMicros - redirected > RETURN_WINDOW_MICROS);
     }
   }
 
