--- a/src/main/java/gladeknot/fleet/CapacityPlanner.java
+++ b/src/main/java/gladeknot/fleet/CapacityPlanner.java
@@ -154,7 +154,7 @@
     Optional<InstanceOffering> offering =
         selector.select(
             new OfferingSelector.InstanceRequest(
-                spec, tasksByZone, remaining, Forecast.NEVER, Forecast.NEVER),
+                spec, tasksByZone, remaining, Forecast.NEVER_MICROS, Forecast.NEVER_MICROS),
             plan);
     if (offering.isEmpty()) {
       return 0;
--- a/src/main/java/gladeknot/fleet/Forecast.java
+++ b/src/main/java/gladeknot/fleet/Forecast.java
@@ -14,7 +14,7 @@
  */
 final class Forecast {
   /** Time that is never reached. It is small enough for durations to be added without overflow. */
-  static final long NEVER = Long.MAX_VALUE / 4;
+  static final long NEVER_MICROS = Long.MAX_VALUE / 4;
 
   /** Stands for the machines of all shards in place of a shard's number. */
   static final int ANY_SHARD = -1;
@@ -149,7 +149,7 @@
    */
   long place(MachineTimeline machine, JobSpec spec, long startMicros, long runMicros, int count) {
     long runningMicros = startMicros + machine.fetchMicros(spec);
-    long endMicros = runMicros >= NEVER ? NEVER : runningMicros + runMicros;
+    long endMicros = runMicros >= NEVER_MICROS ? NEVER_MICROS : runningMicros + runMicros;
     machine.reserve(
         startMicros, endMicros, spec.cpus() * count, spec.gpus() * count, spec.memory() * count);
     return runningMicros;
--- a/src/main/java/gladeknot/fleet/ForecastBuilder.java
+++ b/src/main/java/gladeknot/fleet/ForecastBuilder.java
@@ -55,7 +55,7 @@
       MachineType type = catalog.type(worker.type());
       if (type != null && worker.isExpectedToStay()) {
         long fromMicros = availableFromMicros(worker, type);
-        if (fromMicros != Forecast.NEVER) {
+        if (fromMicros != Forecast.NEVER_MICROS) {
           add(forecast, worker, type, fromMicros);
         }
       }
@@ -71,19 +71,19 @@
 
   /**
    * Returns the time from which a worker can be counted on, by the steady clock; {@link
-   * Forecast#NEVER} if it can't.
+   * Forecast#NEVER_MICROS} if it can't.
    */
   private long availableFromMicros(Worker worker, MachineType type) {
     boolean owned = membership.ownedShards().contains(worker.shard());
     if (owned && worker.heartbeat() != null) {
-      return isUsable(worker) ? clock.nowMicros() : Forecast.NEVER;
+      return isUsable(worker) ? clock.nowMicros() : Forecast.NEVER_MICROS;
     }
     if (!worker.attempts().isEmpty()) {
       return clock.nowMicros();
     }
     long ageMicros = clock.wallMicros() - worker.launchedWallMicros();
     if (owned && isOverdue(worker, type, ageMicros)) {
-      return Forecast.NEVER;
+      return Forecast.NEVER_MICROS;
     }
     long minDelayMicros = owned ? MIN_START_DELAY_MICROS : 0;
     return clock.nowMicros() + Math.max(minDelayMicros, type.bootMicros() - ageMicros);
--- a/src/main/java/gladeknot/fleet/ForecastSearch.java
+++ b/src/main/java/gladeknot/fleet/ForecastSearch.java
@@ -21,7 +21,7 @@
   /** Number of pairs of zone and machine type that the queues cover. */
   private int coveredPairs = NONE_COVERED;
 
-  private long startMicros = Forecast.NEVER;
+  private long startMicros = Forecast.NEVER_MICROS;
 
   ForecastSearch(Forecast forecast, JobSpec spec, int shard) {
     this.forecast = forecast;
@@ -43,7 +43,7 @@
       }
     }
     if (firstIndex == machines.size()) {
-      startMicros = Forecast.NEVER;
+      startMicros = Forecast.NEVER_MICROS;
       return null;
     }
     startMicros = machines.get(firstIndex).earliestStartMicros(spec);
@@ -58,13 +58,13 @@
     findQueues();
     StartTimeQueue.Candidate earliest = earliest(byType, tasksByZone, null);
     earliest = earliest(byImage, tasksByZone, earliest);
-    startMicros = earliest == null ? Forecast.NEVER : earliest.startMicros();
+    startMicros = earliest == null ? Forecast.NEVER_MICROS : earliest.startMicros();
     return earliest == null ? null : earliest.machine();
   }
 
   /**
    * Returns when a task could start on the machine found last, by the steady clock; {@link
-   * Forecast#NEVER} if none was found.
+   * Forecast#NEVER_MICROS} if none was found.
    */
   long startMicros() {
     return startMicros;
--- a/src/main/java/gladeknot/fleet/InstanceCatalog.java
+++ b/src/main/java/gladeknot/fleet/InstanceCatalog.java
@@ -98,10 +98,10 @@
 
   /**
    * Returns the shortest delay, in microseconds, after which an instance requested now could run a
-   * task; {@link Forecast#NEVER} if no type fits.
+   * task; {@link Forecast#NEVER_MICROS} if no type fits.
    */
   long minStartDelayMicros(JobSpec spec) {
-    long minMicros = Forecast.NEVER;
+    long minMicros = Forecast.NEVER_MICROS;
     for (MachineType type : types.values()) {
       if (isUsable(spec, type)) {
         minMicros = Math.min(minMicros, startDelayMicros(spec, type));
--- a/src/main/java/gladeknot/fleet/MachineTimeline.java
+++ b/src/main/java/gladeknot/fleet/MachineTimeline.java
@@ -98,22 +98,22 @@
 
   /**
    * Takes resources from {@code fromMicros} to {@code toMicros}, or for good if {@code toMicros} is
-   * {@link Forecast#NEVER}.
+   * {@link Forecast#NEVER_MICROS}.
    */
   void reserve(long fromMicros, long toMicros, long cpus, long gpus, long memory) {
     addChange(fromMicros, -cpus, -gpus, -memory);
-    if (toMicros < Forecast.NEVER) {
+    if (toMicros < Forecast.NEVER_MICROS) {
       addChange(toMicros, cpus, gpus, memory);
     }
   }
 
   /**
    * Returns the earliest time at which a task could start, by the steady clock; {@link
-   * Forecast#NEVER} if it can't start on this machine.
+   * Forecast#NEVER_MICROS} if it can't start on this machine.
    */
   long earliestStartMicros(JobSpec spec) {
     if (!spec.allowsMachine(type.name(), zone, spot) || type.fits(spec) == 0) {
-      return Forecast.NEVER;
+      return Forecast.NEVER_MICROS;
     }
     long cpus = 0;
     long gpus = 0;
@@ -129,7 +129,7 @@
         return change.atMicros();
       }
     }
-    return Forecast.NEVER;
+    return Forecast.NEVER_MICROS;
   }
 
   /** Returns how many of a job's tasks fit in the resources that are free at a time. */
--- a/src/main/java/gladeknot/fleet/ScaleOutRound.java
+++ b/src/main/java/gladeknot/fleet/ScaleOutRound.java
@@ -130,7 +130,7 @@
      */
     private Optional<InstanceOffering> offeringIfLate(MachineTimeline machine, long startMicros) {
       long runningMicros =
-          machine == null ? Forecast.NEVER : startMicros + machine.fetchMicros(spec);
+          machine == null ? Forecast.NEVER_MICROS : startMicros + machine.fetchMicros(spec);
       long latestStartMicros =
           deadlines.latestStartMicros(pending.job(), paddedRunMicros(), runningMicros);
       if (runningMicros <= latestStartMicros) {
@@ -143,7 +143,9 @@
     }
 
     private long paddedRunMicros() {
-      return runMicros < Forecast.NEVER ? (long) (runMicros * RUN_PADDING_FACTOR) : runMicros;
+      return runMicros < Forecast.NEVER_MICROS
+          ? (long) (runMicros * RUN_PADDING_FACTOR)
+          : runMicros;
     }
 
     private MachineTimeline planInstance(InstanceOffering offering) {
@@ -164,7 +166,7 @@
       }
       // A gang's tasks run at the same time, so no task can use resources that another task of the
       // gang frees.
-      forecast.place(machine, spec, startMicros, gang ? Forecast.NEVER : runMicros, count);
+      forecast.place(machine, spec, startMicros, gang ? Forecast.NEVER_MICROS : runMicros, count);
       tasksByZone.merge(machine.zone(), count, Integer::sum);
       placed += count;
       placedTasks += count;
--- a/src/main/java/gladeknot/fleet/StartTimeQueue.java
+++ b/src/main/java/gladeknot/fleet/StartTimeQueue.java
@@ -99,7 +99,7 @@
   private void evaluate(MachineTimeline machine, int machineIndex) {
     evaluations++;
     long startMicros = machine.earliestStartMicros(spec);
-    if (startMicros < Forecast.NEVER) {
+    if (startMicros < Forecast.NEVER_MICROS) {
       candidates.add(new Candidate(startMicros, machineIndex, machine, machine.version()));
     }
   }
--- a/src/main/java/gladeknot/state/ReadBarriers.java
+++ b/src/main/java/gladeknot/state/ReadBarriers.java
@@ -16,7 +16,7 @@
   /** Minimum interval between two reads. */
   private static final long READ_INTERVAL_MICROS = 300_000;
 
-  private static final long NEVER = Long.MIN_VALUE / 2;
+  private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
   private static final long UNKNOWN = -1;
 
   /** A callback with a deadline, and the callback to run instead if the barrier fails. */
@@ -25,7 +25,7 @@
     private final Runnable onFailed;
     private final long deadlineMicros;
     private long revision = UNKNOWN;
-    private long sentMicros = NEVER;
+    private long sentMicros = NEVER_MICROS;
 
     private Barrier(Runnable onFresh, Runnable onFailed, long deadlineMicros) {
       this.onFresh = onFresh;
@@ -45,8 +45,8 @@
 
   private final List<RevisionWaiter> revisionWaiters = new ArrayList<>();
   private boolean readInFlight;
-  private long lastReadMicros = NEVER;
-  private long currentAsOfMicros = NEVER;
+  private long lastReadMicros = NEVER_MICROS;
+  private long currentAsOfMicros = NEVER_MICROS;
 
   /** Returns the latest time at which the cache is known to have been current. */
   long currentAsOfMicros() {
--- a/src/main/java/gladeknot/workers/Worker.java
+++ b/src/main/java/gladeknot/workers/Worker.java
@@ -28,7 +28,7 @@
   /** Attempts of all shards by task name, according to the cache. */
   private final Map<String, Attempt> attempts = new LinkedHashMap<>();
 
-  private long probedMicros = WorkerSession.NEVER;
+  private long probedMicros = WorkerSession.NEVER_MICROS;
   private long idleSinceMicros;
   private boolean surplus;
   private boolean releasing;
--- a/src/main/java/gladeknot/workers/WorkerSession.java
+++ b/src/main/java/gladeknot/workers/WorkerSession.java
@@ -10,20 +10,20 @@
    * A time before all others. It is not {@code Long.MIN_VALUE}, so that subtracting it from another
    * time does not overflow.
    */
-  static final long NEVER = Long.MIN_VALUE / 2;
+  static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
   private static final double MICROS_PER_SECOND = 1e6;
   private static final long UNKNOWN_TERM = 0;
 
   private Heartbeat heartbeat;
   private long heartbeatMicros;
-  private long answeredMicros = NEVER;
+  private long answeredMicros = NEVER_MICROS;
 
   /** Term of the newest answer. */
   private long answeredTerm;
 
   /** Time of the newest answer that may have arrived, other than the last answer sent. */
-  private long previousAnsweredMicros = NEVER;
+  private long previousAnsweredMicros = NEVER_MICROS;
 
   private long reclaimAtMicros;
 
@@ -72,7 +72,8 @@
   }
 
   /**
-   * Returns the time of the newest answer that may have arrived; {@link #NEVER} if there is none.
+   * Returns the time of the newest answer that may have arrived; {@link #NEVER_MICROS} if there is
+   * none.
    */
   long answeredMicros() {
     return answeredMicros;
--- a/src/test/java/gladeknot/fleet/CapacityTest.java
+++ b/src/test/java/gladeknot/fleet/CapacityTest.java
@@ -80,7 +80,7 @@
       for (int task = 0; task < 4; task++) {
         MachineTimeline machine =
             forecast.search(serviceSpec, Forecast.ANY_SHARD).earliest(forecastTasksByZone);
-        forecast.place(machine, serviceSpec, Forecast.NEVER);
+        forecast.place(machine, serviceSpec, Forecast.NEVER_MICROS);
         forecastTasksByZone.merge(machine.zone(), 1, Integer::sum);
       }
     }
