--- a/src/main/java/gladeknot/jobs/JobAnswers.java
+++ b/src/main/java/gladeknot/jobs/JobAnswers.java
@@ -8,7 +8,7 @@
  * Sends the answers to users' requests, with HTTP status, the protocol's terms and retry delays.
  */
 final class JobAnswers {
-  static final String STATE_STORE_UNREACHABLE = "the state service does not answer";
+  static final String STATE_SERVICE_UNREACHABLE = "the state service does not answer";
 
   private static final int OK = 200;
   private static final int CREATED = 201;
--- a/src/main/java/gladeknot/jobs/JobRequestHandler.java
+++ b/src/main/java/gladeknot/jobs/JobRequestHandler.java
@@ -193,6 +193,6 @@
 
   private void afterReadBarrier(long request, Runnable whenFresh) {
     stateStore.readBarrier(
-        whenFresh, () -> answers.retryLater(request, JobAnswers.STATE_STORE_UNREACHABLE));
+        whenFresh, () -> answers.retryLater(request, JobAnswers.STATE_SERVICE_UNREACHABLE));
   }
 }
--- a/src/main/java/gladeknot/jobs/RequestCommitter.java
+++ b/src/main/java/gladeknot/jobs/RequestCommitter.java
@@ -189,7 +189,7 @@
       case UNKNOWN ->
           // The transaction may still be applied. A repeated request finds the job or commits it
           // again.
-          refuseAll(requests, JobAnswers.STATE_STORE_UNREACHABLE);
+          refuseAll(requests, JobAnswers.STATE_SERVICE_UNREACHABLE);
       case THROTTLED -> {
         // Nothing was applied, and tokens will be available soon. Until then, tick refuses requests
         // that wait for too long.
@@ -253,6 +253,6 @@
           queue.addAll(requests);
           flush();
         },
-        () -> refuseAll(requests, JobAnswers.STATE_STORE_UNREACHABLE));
+        () -> refuseAll(requests, JobAnswers.STATE_SERVICE_UNREACHABLE));
   }
 }
--- a/src/main/java/gladeknot/workers/HeartbeatAnswers.java
+++ b/src/main/java/gladeknot/workers/HeartbeatAnswers.java
@@ -24,7 +24,7 @@
     TERM_BEING_RAISED("its controller's term is being raised"),
     OUT_OF_ORDER("older than a report already taken"),
     OWNER_CHANGING("its controller is changing"),
-    STATE_STORE_UNREACHABLE("the state service does not answer");
+    STATE_SERVICE_UNREACHABLE("the state service does not answer");
 
     private final String text;
 
--- a/src/main/java/gladeknot/workers/RemoteHeartbeats.java
+++ b/src/main/java/gladeknot/workers/RemoteHeartbeats.java
@@ -113,6 +113,6 @@
             answers.refuse(request, HeartbeatAnswers.Refusal.OWNER_CHANGING);
           }
         },
-        () -> answers.refuse(request, HeartbeatAnswers.Refusal.STATE_STORE_UNREACHABLE));
+        () -> answers.refuse(request, HeartbeatAnswers.Refusal.STATE_SERVICE_UNREACHABLE));
   }
 }
