--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -93,7 +93,7 @@
   }
 
   /**
-   * Advances the time and runs all work that is due.
+   * Advances the time and runs everything that is due.
    *
    * @param nowMicros time of the monotonic clock, in microseconds
    * @param wallMicros time of day, in microseconds since 1970
--- a/src/main/java/gladeknot/fleet/ForecastBuilder.java
+++ b/src/main/java/gladeknot/fleet/ForecastBuilder.java
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Returns whether a worker of an owned shard that has sent no heartbeats should have been up long
-   * ago.
+   * Returns whether a worker of an owned shard that has sent no heartbeats is overdue, that is,
+   * whether its machine should have booted long ago.
    */
   private boolean isOverdue(Worker worker, MachineType type, long ageMicros) {
     long overdueAgeMicros =
--- a/src/main/java/gladeknot/fleet/OfferingSelector.java
+++ b/src/main/java/gladeknot/fleet/OfferingSelector.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Selects the offering for tasks: in general, the cheapest one that is up in time. */
+/** Selects the offering for tasks: in general, the cheapest offering that is up in time. */
 final class OfferingSelector {
   /**
    * Penalty per second by which an offering is up too late, in units of the price per hour. It
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Returns the offering with the lowest score: in general the cheapest one that is up in time, or
-   * the soonest one if none is. Empty if no offering is of use.
+   * Returns the offering with the lowest score: in general the cheapest offering that is up in
+   * time, or the soonest offering if no offering is in time. Empty if no offering is of use.
    *
    * @param plan the instances planned so far
    */
--- a/src/main/java/gladeknot/fleet/SchedulerView.java
+++ b/src/main/java/gladeknot/fleet/SchedulerView.java
@@ -17,7 +17,8 @@
    * @param shard the shard that the slice belongs to
    * @param count the number of pending tasks that the team's quota allows
    * @param owned whether this controller owns the shard
-   * @param starving whether the job has missed all its deadlines and newer jobs overtake it
+   * @param starving whether the job has missed all its deadlines and newer jobs keep taking
+   *     precedence over it
    * @param tasksByZone the number of the job's tasks that run in each zone
    */
   record PendingTasks(
--- a/src/main/java/gladeknot/http/HttpCallHandler.java
+++ b/src/main/java/gladeknot/http/HttpCallHandler.java
@@ -72,7 +72,7 @@
     idleConnections.close(ctx.channel());
     HttpExchange unanswered = takeExchange();
     if (unanswered != null) {
-      // Whether the service carried out the request is unknown; only the reply is missing.
+      // The service may have carried out the request; only the reply is missing.
       unanswered.endWithoutReply();
     }
   }
--- a/src/main/java/gladeknot/jobs/JobRequestHandler.java
+++ b/src/main/java/gladeknot/jobs/JobRequestHandler.java
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Refuses requests that have waited for too long, and commits others if possible. */
+  /** Refuses requests that have waited for too long, and commits waiting requests if possible. */
   public void tick(long nowMicros, long wallMicros) {
     committer.tick(nowMicros, wallMicros);
   }
@@ -181,7 +181,8 @@
   }
 
   /**
-   * Refuses a request at once while the cache can't be brought up to date. Returns whether it did.
+   * Refuses a request at once while the cache can't be brought up to date. Returns whether the
+   * request was refused.
    */
   private boolean refuseWhileStale(long request) {
     String reason = stateStore.loaded() ? cluster.refusal() : "the state is not read yet";
--- a/src/main/java/gladeknot/jobs/RequestCommitter.java
+++ b/src/main/java/gladeknot/jobs/RequestCommitter.java
@@ -90,7 +90,7 @@
     return true;
   }
 
-  /** Refuses requests that have waited for too long, and commits others if possible. */
+  /** Refuses requests that have waited for too long, and commits waiting requests if possible. */
   void tick(long currentMicros, long currentWallMicros) {
     nowMicros = currentMicros;
     wallMicros = currentWallMicros;
--- a/src/main/java/gladeknot/peer/PeerMessageCodec.java
+++ b/src/main/java/gladeknot/peer/PeerMessageCodec.java
@@ -20,10 +20,10 @@
   /** The format of the first version, without cancelled jobs. */
   private static final int FORMAT_DEFICITS = 1;
 
-  /** Adds cancelled jobs. */
+  /** The format that adds cancelled jobs. */
   private static final int FORMAT_CANCELLATIONS = 2;
 
-  /** Adds the sender's reachability; written only for messages that contain it. */
+  /** The format that adds the sender's reachability; written only for messages that contain it. */
   private static final int FORMAT_REACHABILITY = 3;
 
   private PeerMessageCodec() {}
--- a/src/main/java/gladeknot/policy/Policy.java
+++ b/src/main/java/gladeknot/policy/Policy.java
@@ -72,7 +72,7 @@
     HASTE(Type.NUMBER, 0, 1),
     /** Remaining fraction of the time for an objective at which deferred jobs come first again. */
     LAST_CALL(Type.NUMBER, 0, 1),
-    /** Maximum work lost by a task of equal priority that is preempted for a guarantee. */
+    /** Maximum loss by preempting a task of equal priority for a guarantee. */
     YOUNG(Type.DURATION, 0, 86400);
 
     private final Type type;
@@ -216,8 +216,8 @@
   }
 
   /**
-   * Returns the value of the operators' rule. Returns that of the shipped rule if the operators set
-   * none or if theirs yields NaN.
+   * Returns the value of the operators' rule, or the value of the shipped rule if the operators set
+   * no rule or their rule yields NaN.
    */
   private double evalUnclamped(Name name) {
     Expression operatorRule = operatorRules.get(name);
--- a/src/main/java/gladeknot/tasks/AttemptCodec.java
+++ b/src/main/java/gladeknot/tasks/AttemptCodec.java
@@ -44,7 +44,7 @@
 
   /**
    * Encodes attempts in the compact form. Returns the plain form if it is no longer than the
-   * compact one, or if the host names differ in more than their trailing digits.
+   * compact form, or if the host names differ in more than their trailing digits.
    */
   static String encodeCompact(List<StoredAttempt> attempts) {
     String plain = encodePlain(attempts);
