--- a/src/main/java/gladeknot/commit/CommitState.java
+++ b/src/main/java/gladeknot/commit/CommitState.java
@@ -13,11 +13,11 @@
     return nowMicros;
   }
 
-  void tick(long now) {
-    nowMicros = now;
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
   }
 
-  /** Returns the admission that is asked about starts and ends when a transaction is built. */
+  /** Returns the admission check for starts and ends, applied when a transaction is built. */
   StartAdmission admission() {
     return admission;
   }
--- a/src/main/java/gladeknot/fleet/InstanceCatalog.java
+++ b/src/main/java/gladeknot/fleet/InstanceCatalog.java
@@ -98,10 +98,10 @@
 
   /**
    * Returns the shortest delay, in microseconds, after which an instance requested now could run a
-   * task; {@link Forecast#NEVER} if no type fits.
+   * task; {@link Forecast#NEVER_MICROS} if no type fits.
    */
   long minStartDelayMicros(JobSpec spec) {
-    long minMicros = Forecast.NEVER;
+    long minMicros = Forecast.NEVER_MICROS;
     for (MachineType type : types.values()) {
       if (isUsable(spec, type)) {
         minMicros = Math.min(minMicros, startDelayMicros(spec, type));
@@ -120,7 +120,7 @@
 
   /** Returns how long a machine of a type takes to fetch a job's image, in microseconds. */
   static long fetchMicros(JobSpec spec, MachineType type) {
-    return (long) (spec.imageGb() / type.fetchGbPerS() * MICROS_PER_SECOND);
+    return (long) (spec.imageGb() / type.fetchGbPerSecond() * MICROS_PER_SECOND);
   }
 
   /** Returns whether a job allows a type and a task fits an empty machine of the type. */
--- a/src/main/java/gladeknot/fleet/ScaleOutRound.java
+++ b/src/main/java/gladeknot/fleet/ScaleOutRound.java
@@ -107,7 +107,7 @@
     private void run() {
       while (placed < pending.count() && placedTasks < maxTasks) {
         MachineTimeline machine =
-            pending.starved() ? search.immediate(tasksByZone) : search.earliest(tasksByZone);
+            pending.starving() ? search.immediate(tasksByZone) : search.earliest(tasksByZone);
         long startMicros = search.startMicros();
         if (pending.owned()) {
           Optional<InstanceOffering> offering = offeringIfLate(machine, startMicros);
@@ -130,7 +130,7 @@
      */
     private Optional<InstanceOffering> offeringIfLate(MachineTimeline machine, long startMicros) {
       long runningMicros =
-          machine == null ? Forecast.NEVER : startMicros + machine.fetchMicros(spec);
+          machine == null ? Forecast.NEVER_MICROS : startMicros + machine.fetchMicros(spec);
       long latestStartMicros =
           deadlines.latestStartMicros(pending.job(), paddedRunMicros(), runningMicros);
       if (runningMicros <= latestStartMicros) {
@@ -143,7 +143,9 @@
     }
 
     private long paddedRunMicros() {
-      return runMicros < Forecast.NEVER ? (long) (runMicros * RUN_PADDING_FACTOR) : runMicros;
+      return runMicros < Forecast.NEVER_MICROS
+          ? (long) (runMicros * RUN_PADDING_FACTOR)
+          : runMicros;
     }
 
     private MachineTimeline planInstance(InstanceOffering offering) {
@@ -162,8 +164,9 @@
         int remaining = Math.min(pending.count() - placed, maxTasks - placedTasks);
         count = (int) Math.max(1, Math.min(remaining, machine.fittingTasks(spec, startMicros)));
       }
-      // A gang's tasks run at the same time, so none can use resources that another one frees.
-      forecast.place(machine, spec, startMicros, gang ? Forecast.NEVER : runMicros, count);
+      // A gang's tasks run at the same time, so no task can use resources that another task of the
+      // gang frees.
+      forecast.place(machine, spec, startMicros, gang ? Forecast.NEVER_MICROS : runMicros, count);
       tasksByZone.merge(machine.zone(), count, Integer::sum);
       placed += count;
       placedTasks += count;
--- a/src/main/java/gladeknot/jobs/JobAnswers.java
+++ b/src/main/java/gladeknot/jobs/JobAnswers.java
@@ -8,7 +8,7 @@
  * Sends the answers to users' requests, with HTTP status, the protocol's terms and retry delays.
  */
 final class JobAnswers {
-  static final String STATE_STORE_UNREACHABLE = "the state service does not answer";
+  static final String STATE_SERVICE_UNREACHABLE = "the state service does not answer";
 
   private static final int OK = 200;
   private static final int CREATED = 201;
@@ -63,7 +63,7 @@
     outbox.answer(request, OK, Json.of(ID, finished.id(), PHASE, finalPhase(finished)));
   }
 
-  /** Answers with the final phase of a finished job and the number of its done tasks. */
+  /** Answers with the final phase of a finished job and the number of its completed tasks. */
   void finalState(long request, Job finished) {
     Map<String, Object> answer = Json.of(ID, finished.id(), PHASE, finalPhase(finished));
     answer.put(DONE, finished.phase() == Job.Phase.DONE ? finished.tasks() : 0);
--- a/src/main/java/gladeknot/jobs/JobRecordCodec.java
+++ b/src/main/java/gladeknot/jobs/JobRecordCodec.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * Converts a {@link Job} from and to its record in the state store. An active job's record holds
+ * Converts a {@link Job} from and to its record in the state service. An active job's record holds
  * the submission. A final record holds the phase and the number of tasks, and never changes again.
  */
 public final class JobRecordCodec {
@@ -28,7 +28,7 @@
     return Json.of(SPEC, JobSpecCodec.encode(spec), HOME, home, SUBMITTED_MICROS, wallMicros);
   }
 
-  /** Returns the final record of a job whose tasks were all done at a time of day. */
+  /** Returns the final record of a job whose tasks were all completed at a time of day. */
   public static Map<String, Object> encodeDone(int tasks, long wallMicros) {
     return Json.of(PHASE, PHASE_DONE, TASKS, tasks, END_MICROS, wallMicros);
   }
@@ -51,8 +51,8 @@
   private static Job decodeFinal(String id, String phaseWord, Entry entry) {
     Map<String, Object> data = entry.data();
     Job.Phase phase = phaseWord.equals(PHASE_DONE) ? Job.Phase.DONE : Job.Phase.CANCELLED;
-    int tasks = (int) Json.num(data, TASKS, 0);
-    long endMicros = Json.num(data, END_MICROS, 0);
+    int tasks = (int) Json.longValue(data, TASKS, 0);
+    long endMicros = Json.longValue(data, END_MICROS, 0);
     return new Job(id, phase, null, 0, tasks, 0, 0, endMicros, entry.modRevision());
   }
 
@@ -71,8 +71,8 @@
               + e.getMessage(),
           e);
     }
-    int home = (int) Json.num(data, HOME, 0);
-    long submittedMicros = Json.num(data, SUBMITTED_MICROS, 0);
+    int home = (int) Json.longValue(data, HOME, 0);
+    long submittedMicros = Json.longValue(data, SUBMITTED_MICROS, 0);
     return new Job(
         id,
         Job.Phase.ACTIVE,
--- a/src/main/java/gladeknot/jobs/RequestCommitter.java
+++ b/src/main/java/gladeknot/jobs/RequestCommitter.java
@@ -30,10 +30,10 @@
   private static final int MAX_QUEUED_REQUESTS = 300;
   private static final long MAX_WAIT_MICROS = 2_500_000;
 
-  /** Delay until the next transaction after the state store has throttled one. */
+  /** Delay until the next transaction after the state service has throttled one. */
   private static final long THROTTLED_DELAY_MICROS = 60_000;
 
-  /** Delay until the next transaction after the state store has failed. */
+  /** Delay until the next transaction after the state service has failed. */
   private static final long FAILED_DELAY_MICROS = 100_000;
 
   /** Share of the write tokens left to more urgent transactions. Users' requests leave none. */
@@ -90,11 +90,11 @@
     return true;
   }
 
-  /** Refuses requests that have waited for too long, and commits others if possible. */
-  void tick(long now, long wall) {
-    nowMicros = now;
-    wallMicros = wall;
-    while (!queue.isEmpty() && now - queue.peek().sinceMicros() > MAX_WAIT_MICROS) {
+  /** Refuses requests that have waited for too long, and commits waiting requests if possible. */
+  void tick(long currentMicros, long currentWallMicros) {
+    nowMicros = currentMicros;
+    wallMicros = currentWallMicros;
+    while (!queue.isEmpty() && currentMicros - queue.peek().sinceMicros() > MAX_WAIT_MICROS) {
       refuse(queue.poll(), "not committed in time");
     }
     flush();
@@ -189,7 +189,7 @@
       case UNKNOWN ->
           // The transaction may still be applied. A repeated request finds the job or commits it
           // again.
-          refuseAll(requests, JobAnswers.STATE_STORE_UNREACHABLE);
+          refuseAll(requests, JobAnswers.STATE_SERVICE_UNREACHABLE);
       case THROTTLED -> {
         // Nothing was applied, and tokens will be available soon. Until then, tick refuses requests
         // that wait for too long.
@@ -253,6 +253,6 @@
           queue.addAll(requests);
           flush();
         },
-        () -> refuseAll(requests, JobAnswers.STATE_STORE_UNREACHABLE));
+        () -> refuseAll(requests, JobAnswers.STATE_SERVICE_UNREACHABLE));
   }
 }
--- a/src/main/java/gladeknot/lifecycle/KillDispatcher.java
+++ b/src/main/java/gladeknot/lifecycle/KillDispatcher.java
@@ -90,14 +90,14 @@
   }
 
   /** Sends the kills that are due, and drops those that are no longer needed. */
-  void tick(long now) {
-    nowMicros = now;
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
     if (pendingByHost.isEmpty()) {
       return;
     }
     for (Map.Entry<String, PendingKills> entry : List.copyOf(pendingByHost.entrySet())) {
       PendingKills pending = entry.getValue();
-      if (!pending.isDue(now)) {
+      if (!pending.isDue(currentMicros)) {
         continue;
       }
       pending.attempts.removeIf(attempt -> !isStillNeeded(attempt));
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Returns whether a kill may be sent now. The kill of a finished job's task is right whichever
-   * controller owns the shard; other kills require authority over the shard.
+   * Returns whether a kill may be sent now. Any controller may kill a finished job's task, whether
+   * or not it owns the shard; other kills require authority over the shard.
    */
   private boolean mayKill(Attempt attempt, int shard) {
     return membership.permits(
--- a/src/main/java/gladeknot/state/StateStore.java
+++ b/src/main/java/gladeknot/state/StateStore.java
@@ -21,7 +21,7 @@
   /** Common prefix of all keys, so that one watch covers every change. */
   public static final String ROOT = "g/";
 
-  /** Key that is never written. A read of this key returns only the store's revision. */
+  /** Key that is never written. A read of this key returns only the state service's revision. */
   private static final String BARRIER_KEY = ROOT + "-";
 
   private static final long COMMIT_TIMEOUT_MICROS = 2_500_000;
@@ -116,15 +116,15 @@
   }
 
   /** Advances the time, and starts the lists, watches and barrier reads that are due. */
-  public void tick(long now) {
-    nowMicros = now;
-    lag.tick(now);
-    requestLimits.tick(now);
-    synchronizer.tick(now);
-    if (loaded() && barriers.readDue(now) && requestLimits.tryAcquireRead()) {
+  public void tick(long currentMicros) {
+    nowMicros = currentMicros;
+    lag.tick(currentMicros);
+    requestLimits.tick(currentMicros);
+    synchronizer.tick(currentMicros);
+    if (loaded() && barriers.readDue(currentMicros) && requestLimits.tryAcquireRead()) {
       readForBarriers();
     }
-    barriers.expire(now);
+    barriers.expire(currentMicros);
   }
 
   private void readForBarriers() {
--- a/src/main/java/gladeknot/tasks/AttemptCodec.java
+++ b/src/main/java/gladeknot/tasks/AttemptCodec.java
@@ -14,7 +14,7 @@
  * The compact form is {@code ~PREFIX:WIDTH:DATA}. {@code PREFIX} is the part of the host names
  * before their trailing digits, which all hosts share. {@code WIDTH} is the number of trailing
  * digits. {@code DATA} holds, in Base64, the differences in task, attempt number and host number
- * between each attempt and the one before it, as variable-length integers.
+ * between each attempt and the attempt before it, as variable-length integers.
  */
 final class AttemptCodec {
   /** An attempt in a stored record. */
@@ -44,7 +44,7 @@
 
   /**
    * Encodes attempts in the compact form. Returns the plain form if it is no longer than the
-   * compact one, or if the host names differ in more than their trailing digits.
+   * compact form, or if the host names differ in more than their trailing digits.
    */
   static String encodeCompact(List<StoredAttempt> attempts) {
     String plain = encodePlain(attempts);
--- a/src/test/java/gladeknot/app/SplitRandomFaultsTest.java
+++ b/src/test/java/gladeknot/app/SplitRandomFaultsTest.java
@@ -99,7 +99,7 @@
       // then
       assertEquals(List.of(), cluster.violations());
       assertTrue(
-          Json.num(cluster.state().get("g/format"), "split", 0) > 1,
+          Json.longValue(cluster.state().get("g/format"), "split", 0) > 1,
           () -> "no segment was split: " + cluster.state().get("g/format"));
       for (String job : jobs) {
         String phase = cluster.phase(job);
--- a/src/test/java/gladeknot/app/UpgradeTest.java
+++ b/src/test/java/gladeknot/app/UpgradeTest.java
@@ -218,7 +218,7 @@
     upgradeControllers(cluster, 2);
     cluster.run(5 * SECOND);
     Map<String, Object> format = cluster.state().get("g/format");
-    assertEquals(4L, Json.num(format, "split", 0));
+    assertEquals(4L, Json.longValue(format, "split", 0));
     assertEquals(List.of(), cluster.violations());
   }
 }
--- a/src/test/java/gladeknot/standin/FakeWorker.java
+++ b/src/test/java/gladeknot/standin/FakeWorker.java
@@ -204,7 +204,7 @@
    * incarnation {@code sentIncarnation}.
    */
   public void handleResponse(Map<String, Object> answer, long sentMicros, long sentIncarnation) {
-    long receivedToken = Json.num(answer, "fence", -1);
+    long receivedToken = Json.longValue(answer, "fence", -1);
     if (receivedToken < highestToken || sentIncarnation != incarnation) {
       return;
     }
@@ -243,8 +243,8 @@
 
   /** Executes commands that are sent directly. */
   public ServiceResponse executeCommands(Map<String, Object> body) {
-    long receivedToken = Json.num(body, "fence", -1);
-    if (receivedToken < highestToken || Json.num(body, "tenure", -1) != incarnation) {
+    long receivedToken = Json.longValue(body, "fence", -1);
+    if (receivedToken < highestToken || Json.longValue(body, "tenure", -1) != incarnation) {
       return new ServiceResponse(409, report());
     }
     highestToken = receivedToken;
@@ -254,7 +254,7 @@
 
   private void execute(Map<String, Object> command) {
     String name = Json.text(command, "strand");
-    long attempt = Json.num(command, "try", 0);
+    long attempt = Json.longValue(command, "try", 0);
     Task task = tasks.get(name);
     boolean matches = task != null && task.attempt == attempt;
     switch (Json.text(command, "verb")) {
