--- a/src/test/java/gladeknot/standin/ClusterSettings.java
+++ b/src/test/java/gladeknot/standin/ClusterSettings.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import static gladeknot.standin.SimulatedClock.SECOND;
+import static gladeknot.standin.SimulatedClock.MICROS_PER_SECOND;
 
 import gladeknot.settings.ObjectiveKind;
 import gladeknot.settings.Settings;
@@ -13,13 +13,13 @@
 /** The settings of the controllers of a simulated cluster. */
 public final class ClusterSettings {
   /** Time without a heartbeat response after which a worker stops its tasks, in microseconds. */
-  public static final long LEASE = 8 * SECOND;
+  public static final long LEASE = 8 * MICROS_PER_SECOND;
 
   /** Maximum run time of a job's tasks after its confirmed cancellation, in microseconds. */
-  public static final long CANCEL = 25 * SECOND;
+  public static final long CANCEL = 25 * MICROS_PER_SECOND;
 
   /** Interval between a worker's heartbeats. */
-  static final long HEARTBEAT_INTERVAL_MICROS = SECOND;
+  static final long HEARTBEAT_INTERVAL_MICROS = MICROS_PER_SECOND;
 
   private ClusterSettings() {}
 
@@ -39,13 +39,18 @@
         List.of(
             new Settings.Objective(ObjectiveKind.DEADLINE, "batch", 0, 0.9, 1),
             new Settings.Objective(ObjectiveKind.DEADLINE, "batch", 0, 0.95, 1.5),
-            new Settings.Objective(ObjectiveKind.WAIT, "scan", 5 * SECOND, 0.9, 0)),
-        new Settings.Workers(HEARTBEAT_INTERVAL_MICROS, LEASE, 30 * SECOND, 5 * SECOND, CANCEL),
+            new Settings.Objective(ObjectiveKind.WAIT, "scan", 5 * MICROS_PER_SECOND, 0.9, 0)),
+        new Settings.Workers(
+            HEARTBEAT_INTERVAL_MICROS,
+            LEASE,
+            30 * MICROS_PER_SECOND,
+            5 * MICROS_PER_SECOND,
+            CANCEL),
         new Settings.StateLimits(
             scale.stateRps(), scale.writeRps(), scale.valueBytes(), ClusterScale.OPERATIONS),
         new Settings.StateLimits(
             scale.stateRps(), scale.writeRps(), scale.nextValueBytes(), scale.nextOperations()),
-        new Settings.CloudLimits(20, 3 * SECOND),
+        new Settings.CloudLimits(20, 3 * MICROS_PER_SECOND),
         500);
   }
 
--- a/src/test/java/gladeknot/standin/ExecutionChecker.java
+++ b/src/test/java/gladeknot/standin/ExecutionChecker.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import static gladeknot.standin.SimulatedClock.SECOND;
+import static gladeknot.standin.SimulatedClock.MICROS_PER_SECOND;
 
 import gladeknot.settings.Settings;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
    * Maximum age of a start command that a controller sent before it could know of a cancellation,
    * in microseconds.
    */
-  private static final long START_GRACE_MICROS = 7 * SECOND;
+  private static final long START_GRACE_MICROS = 7 * MICROS_PER_SECOND;
 
   private final SimulatedClock clock;
   private final SimulatedMachines machines;
--- a/src/test/java/gladeknot/standin/HeartbeatSender.java
+++ b/src/test/java/gladeknot/standin/HeartbeatSender.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import static gladeknot.standin.SimulatedClock.SECOND;
+import static gladeknot.standin.SimulatedClock.MICROS_PER_SECOND;
 
 import gladeknot.json.Json;
 import gladeknot.outbox.Outbox;
@@ -14,10 +14,10 @@
 
 /** Sends the machines' heartbeats to controllers and hands the responses to the workers. */
 final class HeartbeatSender {
-  private static final long TIMEOUT_MICROS = 4 * SECOND;
+  private static final long TIMEOUT_MICROS = 4 * MICROS_PER_SECOND;
   private static final long LATENCY_MICROS = 1_000;
   private static final int HEARTBEATS_PER_DUPLICATE = 4;
-  private static final long MIN_DUPLICATE_DELAY_MICROS = SECOND;
+  private static final long MIN_DUPLICATE_DELAY_MICROS = MICROS_PER_SECOND;
   private static final long DUPLICATE_DELAY_SPREAD_MICROS = 3 * ClusterSettings.LEASE;
 
   /** A heartbeat that is in flight: neither answered nor timed out nor known to be lost. */
--- a/src/test/java/gladeknot/standin/RandomFaults.java
+++ b/src/test/java/gladeknot/standin/RandomFaults.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import static gladeknot.standin.SimulatedClock.SECOND;
+import static gladeknot.standin.SimulatedClock.MICROS_PER_SECOND;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -64,7 +64,8 @@
   }
 
   private void addActive(String name, long micros, Runnable end) {
-    schedule.add(cluster.now() / SECOND + " s: " + name + " for " + micros / 1000 + " ms");
+    schedule.add(
+        cluster.now() / MICROS_PER_SECOND + " s: " + name + " for " + micros / 1000 + " ms");
     active.add(new ActiveFault(cluster.now() + micros, end));
   }
 
--- a/src/test/java/gladeknot/standin/RecoveryChecker.java
+++ b/src/test/java/gladeknot/standin/RecoveryChecker.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import static gladeknot.standin.SimulatedClock.SECOND;
+import static gladeknot.standin.SimulatedClock.MICROS_PER_SECOND;
 
 import java.util.Map;
 import java.util.Optional;
@@ -12,8 +12,8 @@
  * could start.
  */
 final class RecoveryChecker {
-  private static final long MAX_UNANSWERED_MICROS = 75 * SECOND;
-  private static final long MAX_WAIT_MICROS = 90 * SECOND;
+  private static final long MAX_UNANSWERED_MICROS = 75 * MICROS_PER_SECOND;
+  private static final long MAX_WAIT_MICROS = 90 * MICROS_PER_SECOND;
   private static final long MACHINE_CPUS = 4;
 
   private static final ResourceUse UNKNOWN_TASK = ResourceUse.of(1, 0);
--- a/src/test/java/gladeknot/standin/SimulatedClock.java
+++ b/src/test/java/gladeknot/standin/SimulatedClock.java
@@ -8,12 +8,12 @@
  * the order in which they were added, so that a simulation repeats itself exactly.
  */
 final class SimulatedClock {
-  static final long SECOND = 1_000_000;
+  static final long MICROS_PER_SECOND = 1_000_000;
 
   /** Resolution of simulated time, in microseconds. */
   static final long STEP_MICROS = 10_000;
 
-  private static final long START_MICROS = 100 * SECOND;
+  private static final long START_MICROS = 100 * MICROS_PER_SECOND;
 
   private record Event(long dueMicros, long order, Runnable action) {}
 
--- a/src/test/java/gladeknot/standin/SimulatedCluster.java
+++ b/src/test/java/gladeknot/standin/SimulatedCluster.java
@@ -21,7 +21,7 @@
  */
 public final class SimulatedCluster {
   /** One second in microseconds, the unit of all times here. */
-  public static final long SECOND = SimulatedClock.SECOND;
+  public static final long SECOND = SimulatedClock.MICROS_PER_SECOND;
 
   private static final long BOOT_MICROS = 3 * SECOND;
 
--- a/src/test/java/gladeknot/standin/SimulatedMachine.java
+++ b/src/test/java/gladeknot/standin/SimulatedMachine.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import static gladeknot.standin.SimulatedClock.SECOND;
+import static gladeknot.standin.SimulatedClock.MICROS_PER_SECOND;
 
 import gladeknot.json.Json;
 import gladeknot.outbox.Outbox;
@@ -13,7 +13,7 @@
 /** A rented machine: its worker, the state of its heartbeats, and its faults. */
 final class SimulatedMachine {
   /** Delay before the next heartbeat of a worker that changes its controller, in microseconds. */
-  private static final long RETRY_DELAY_MICROS = SECOND;
+  private static final long RETRY_DELAY_MICROS = MICROS_PER_SECOND;
 
   private static final long REDIRECT_DELAY_MICROS = 200_000;
 
--- a/src/test/java/gladeknot/standin/SimulatedNetwork.java
+++ b/src/test/java/gladeknot/standin/SimulatedNetwork.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import static gladeknot.standin.SimulatedClock.SECOND;
+import static gladeknot.standin.SimulatedClock.MICROS_PER_SECOND;
 import static gladeknot.standin.SimulatedClock.STEP_MICROS;
 
 import gladeknot.json.Json;
@@ -28,10 +28,10 @@
   /**
    * Time before its caller's timeout at which a watch without changes is answered, in microseconds.
    */
-  private static final long WATCH_MARGIN_MICROS = 4 * SECOND;
+  private static final long WATCH_MARGIN_MICROS = 4 * MICROS_PER_SECOND;
 
-  private static final long MIN_LATE_COMMIT_MICROS = 2 * SECOND;
-  private static final long LATE_COMMIT_SPREAD_MICROS = 10 * SECOND;
+  private static final long MIN_LATE_COMMIT_MICROS = 2 * MICROS_PER_SECOND;
+  private static final long LATE_COMMIT_SPREAD_MICROS = 10 * MICROS_PER_SECOND;
 
   private final SimulatedClock clock;
   private final SplittableRandom random;
--- a/src/test/java/gladeknot/standin/SimulatedUsers.java
+++ b/src/test/java/gladeknot/standin/SimulatedUsers.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import static gladeknot.standin.SimulatedClock.SECOND;
+import static gladeknot.standin.SimulatedClock.MICROS_PER_SECOND;
 
 import gladeknot.outbox.Outbox;
 import java.util.List;
@@ -9,7 +9,7 @@
 
 /** Users of a simulation: they submit, cancel and poll jobs, and retry until they get an answer. */
 final class SimulatedUsers {
-  private static final long RETRY_INTERVAL_MICROS = 2 * SECOND;
+  private static final long RETRY_INTERVAL_MICROS = 2 * MICROS_PER_SECOND;
   private static final int POLL_INTERVAL_SECONDS = 5;
 
   private final SimulatedClock clock;
@@ -111,7 +111,7 @@
 
   /** Polls all jobs if a poll is due. */
   void pollIfDue() {
-    if (!polling || clock.now() / SECOND % POLL_INTERVAL_SECONDS != 0) {
+    if (!polling || clock.now() / MICROS_PER_SECOND % POLL_INTERVAL_SECONDS != 0) {
       return;
     }
     List<Integer> running = controllers.running();
