--- a/src/test/java/gladeknot/connectivity/FailoverOffersTest.java
+++ b/src/test/java/gladeknot/connectivity/FailoverOffersTest.java
@@ -12,7 +12,7 @@
 
 /** Suppression of offers by flap damping: only changes of owner count, and only for a while. */
 class FailoverOffersTest {
-  private static final long SECOND = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
   private String owner = "node-0";
   private long term = 1;
@@ -69,7 +69,7 @@
   }
 
   private static void tick(FailoverOffers offers, long second) {
-    offers.tick(second * SECOND, (shard, excluded) -> Optional.empty());
+    offers.tick(second * MICROS_PER_SECOND, (shard, excluded) -> Optional.empty());
   }
 
   /**
--- a/src/test/java/gladeknot/state/PagedListTest.java
+++ b/src/test/java/gladeknot/state/PagedListTest.java
@@ -21,7 +21,7 @@
  * moved to.
  */
 class PagedListTest {
-  private static final long SECOND = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
   private final Outbox outbox = new Outbox();
   private final List<String> reached = new ArrayList<>();
@@ -39,7 +39,7 @@
               reached.add("reached " + store().revision());
             }
           });
-  private long now = SECOND;
+  private long now = MICROS_PER_SECOND;
 
   private StateStore store() {
     return store;
@@ -80,7 +80,7 @@
 
   private Outbox.Call nextCall(String path) {
     for (int i = 0; i < 10; i++) {
-      now += SECOND;
+      now += MICROS_PER_SECOND;
       store.tick(now);
       for (Outbox.Call call : outbox.drainCalls()) {
         if (call.path().startsWith(path)) {
