--- a/src/test/java/gladeknot/app/OwnershipFaultsTest.java
+++ b/src/test/java/gladeknot/app/OwnershipFaultsTest.java
@@ -55,7 +55,7 @@
                 cluster.cancel(0, "req-cut");
                 cluster.run(100_000);
                 cluster.kill(0, 1, 2);
-                cluster.run(ClusterSettings.LEASE + 6 * MICROS_PER_SECOND);
+                cluster.run(ClusterSettings.LEASE_MICROS + 6 * MICROS_PER_SECOND);
                 cluster.start(0, 1, 2);
               }),
           new Case(
--- a/src/test/java/gladeknot/app/PartitionFaultsTest.java
+++ b/src/test/java/gladeknot/app/PartitionFaultsTest.java
@@ -33,7 +33,7 @@
                 cluster.faults().isolateZone("b", 1);
                 cluster.run(MICROS_PER_SECOND);
                 cluster.cancel(0, "req-cut");
-                cluster.run(ClusterSettings.LEASE + 20 * MICROS_PER_SECOND);
+                cluster.run(ClusterSettings.LEASE_MICROS + 20 * MICROS_PER_SECOND);
                 cluster.faults().rejoinZone();
               }),
           new Case(
--- a/src/test/java/gladeknot/app/QuotaFaultsTest.java
+++ b/src/test/java/gladeknot/app/QuotaFaultsTest.java
@@ -88,7 +88,7 @@
     // when
     cluster.faults().partitionZone("a", Set.of(1));
     cluster.faults().stallWatch(0, true);
-    cluster.run(ClusterSettings.LEASE - 2 * MICROS_PER_SECOND);
+    cluster.run(ClusterSettings.LEASE_MICROS - 2 * MICROS_PER_SECOND);
     cluster.cancel(0, "req-room");
     cluster.run(4 * MICROS_PER_SECOND);
     cluster.faults().stallWatch(0, false);
@@ -105,7 +105,7 @@
     SimulatedCluster cluster = teamAtLimitWaitingForZoneB();
     // when
     cluster.faults().partitionZone("a", Set.of());
-    cluster.run(ClusterSettings.LEASE - 2 * MICROS_PER_SECOND);
+    cluster.run(ClusterSettings.LEASE_MICROS - 2 * MICROS_PER_SECOND);
     cluster.cancel(0, "req-room");
     int owner = awaitStart(cluster, "req-second", 20 * MICROS_PER_SECOND);
     cluster.kill(owner);
--- a/src/test/java/gladeknot/app/SpotReclaimsTest.java
+++ b/src/test/java/gladeknot/app/SpotReclaimsTest.java
@@ -1,6 +1,6 @@
 package gladeknot.app;
 
-import static gladeknot.standin.ClusterSettings.LEASE;
+import static gladeknot.standin.ClusterSettings.LEASE_MICROS;
 import static gladeknot.standin.SimulatedCluster.MICROS_PER_SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -33,7 +33,7 @@
     cluster.machineFaults().reclaim(host, 12 * MICROS_PER_SECOND);
     cluster.run(leaveWithinSeconds * MICROS_PER_SECOND);
     assertTrue(!cluster.hosts("req-long").contains(host), "still on " + host);
-    cluster.run(LEASE / 2);
+    cluster.run(LEASE_MICROS / 2);
     assertEquals(tasks, cluster.tasksOnMachines());
     cluster.run(60 * MICROS_PER_SECOND);
     assertEquals(List.of(), cluster.violations());
--- a/src/test/java/gladeknot/connectivity/PartialCutsTest.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsTest.java
@@ -25,7 +25,7 @@
  * After the faults are removed, nothing is lost or left pending and every job completes.
  */
 class PartialCutsTest {
-  private static final long LEASE_MICROS = ClusterSettings.LEASE;
+  private static final long LEASE_MICROS = ClusterSettings.LEASE_MICROS;
   private static final long CANCEL_MICROS = ClusterSettings.CANCEL;
 
   private static final int MAX_REPEATED_STARTS = 10;
--- a/src/test/java/gladeknot/golden/GoldenWorker.java
+++ b/src/test/java/gladeknot/golden/GoldenWorker.java
@@ -26,7 +26,7 @@
         new FakeWorker(
             machine,
             machine.id() + ":9",
-            ClusterSettings.LEASE,
+            ClusterSettings.LEASE_MICROS,
             task -> RUN_MICROS,
             cluster.nowMicros());
     cluster.machineResponses = this::serveDirectCall;
--- a/src/test/java/gladeknot/standin/ClusterSettings.java
+++ b/src/test/java/gladeknot/standin/ClusterSettings.java
@@ -13,7 +13,7 @@
 /** The settings of the controllers of a simulated cluster. */
 public final class ClusterSettings {
   /** Time without a heartbeat response after which a worker stops its tasks, in microseconds. */
-  public static final long LEASE = 8 * MICROS_PER_SECOND;
+  public static final long LEASE_MICROS = 8 * MICROS_PER_SECOND;
 
   /** Maximum run time of a job's tasks after its confirmed cancellation, in microseconds. */
   public static final long CANCEL = 25 * MICROS_PER_SECOND;
@@ -42,7 +42,7 @@
             new Settings.Objective(ObjectiveKind.WAIT, "scan", 5 * MICROS_PER_SECOND, 0.9, 0)),
         new Settings.Workers(
             HEARTBEAT_INTERVAL_MICROS,
-            LEASE,
+            LEASE_MICROS,
             30 * MICROS_PER_SECOND,
             5 * MICROS_PER_SECOND,
             CANCEL),
--- a/src/test/java/gladeknot/standin/HeartbeatSender.java
+++ b/src/test/java/gladeknot/standin/HeartbeatSender.java
@@ -18,7 +18,7 @@
   private static final long LATENCY_MICROS = 1_000;
   private static final int HEARTBEATS_PER_DUPLICATE = 4;
   private static final long MIN_DUPLICATE_DELAY_MICROS = MICROS_PER_SECOND;
-  private static final long DUPLICATE_DELAY_SPREAD_MICROS = 3 * ClusterSettings.LEASE;
+  private static final long DUPLICATE_DELAY_SPREAD_MICROS = 3 * ClusterSettings.LEASE_MICROS;
 
   /** A heartbeat that is in flight: neither answered nor timed out nor known to be lost. */
   private static final class Pending {
--- a/src/test/java/gladeknot/standin/SimulatedMachines.java
+++ b/src/test/java/gladeknot/standin/SimulatedMachines.java
@@ -114,6 +114,6 @@
 
   private FakeWorker newWorker(FakeCloud.Machine rented) {
     return new FakeWorker(
-        rented, rented.id() + ":9", ClusterSettings.LEASE, durations::of, clock.now());
+        rented, rented.id() + ":9", ClusterSettings.LEASE_MICROS, durations::of, clock.now());
   }
 }
