--- a/src/test/java/gladeknot/app/StateServiceFaultsTest.java
+++ b/src/test/java/gladeknot/app/StateServiceFaultsTest.java
@@ -53,7 +53,7 @@
                 cluster.cancel(0, "req-cut");
                 cluster.run(5 * MICROS_PER_SECOND);
                 cluster.faults().stateOutage(true);
-                cluster.run(ClusterSettings.CANCEL + 10 * MICROS_PER_SECOND);
+                cluster.run(ClusterSettings.CANCEL_MICROS + 10 * MICROS_PER_SECOND);
                 cluster.faults().stateOutage(false);
                 cluster.faults().rejectStateCalls(2, false);
                 cluster.run(10 * MICROS_PER_SECOND);
--- a/src/test/java/gladeknot/connectivity/PartialCutsTest.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsTest.java
@@ -26,7 +26,7 @@
  */
 class PartialCutsTest {
   private static final long LEASE_MICROS = ClusterSettings.LEASE_MICROS;
-  private static final long CANCEL_MICROS = ClusterSettings.CANCEL;
+  private static final long CANCEL_MICROS = ClusterSettings.CANCEL_MICROS;
 
   private static final int MAX_REPEATED_STARTS = 10;
 
--- a/src/test/java/gladeknot/standin/ClusterSettings.java
+++ b/src/test/java/gladeknot/standin/ClusterSettings.java
@@ -16,7 +16,7 @@
   public static final long LEASE_MICROS = 8 * MICROS_PER_SECOND;
 
   /** Maximum run time of a job's tasks after its confirmed cancellation, in microseconds. */
-  public static final long CANCEL = 25 * MICROS_PER_SECOND;
+  public static final long CANCEL_MICROS = 25 * MICROS_PER_SECOND;
 
   /** Interval between a worker's heartbeats. */
   static final long HEARTBEAT_INTERVAL_MICROS = MICROS_PER_SECOND;
@@ -45,7 +45,7 @@
             LEASE_MICROS,
             30 * MICROS_PER_SECOND,
             5 * MICROS_PER_SECOND,
-            CANCEL),
+            CANCEL_MICROS),
         new Settings.StateLimits(
             scale.stateRps(), scale.writeRps(), scale.valueBytes(), ClusterScale.OPERATIONS),
         new Settings.StateLimits(
--- a/src/test/java/gladeknot/standin/ExecutionChecker.java
+++ b/src/test/java/gladeknot/standin/ExecutionChecker.java
@@ -100,7 +100,8 @@
       violations.add("ran_twice: " + task + " on " + otherHost + " and " + host);
     }
     Optional<ObservedJob> job = jobs.ofTask(task);
-    if (job.isPresent() && job.get().cancelledLongerThan(ClusterSettings.CANCEL, clock.now())) {
+    if (job.isPresent()
+        && job.get().cancelledLongerThan(ClusterSettings.CANCEL_MICROS, clock.now())) {
       violations.add("ran_cancelled: " + task);
     }
   }
--- a/src/test/java/gladeknot/standin/JobStatusChecker.java
+++ b/src/test/java/gladeknot/standin/JobStatusChecker.java
@@ -67,7 +67,8 @@
       }
     }
     if ((phase.equals("queued") || phase.equals("running"))
-        && jobs.dependencies().cancellationOverdue(id, clock.now(), ClusterSettings.CANCEL)) {
+        && jobs.dependencies()
+            .cancellationOverdue(id, clock.now(), ClusterSettings.CANCEL_MICROS)) {
       violations.add("orphaned: " + id);
     }
     job.phaseAnswered(phase);
