--- a/src/test/java/gladeknot/standin/HistoryTest.java
+++ b/src/test/java/gladeknot/standin/HistoryTest.java
@@ -14,13 +14,13 @@
  * accepts a valid one.
  */
 class HistoryTest {
-  private static final long CANCEL = 20;
+  private static final long CANCEL_MICROS = 20;
   private static final String KEY = "g/sl/0/a0";
 
   private record Case(String reason, Consumer<History> history) {}
 
   private static History newHistory() {
-    return new History(CANCEL, List.of(new Settings.Team("dev", 0, 4_000, 0, 2_000)), 1);
+    return new History(CANCEL_MICROS, List.of(new Settings.Team("dev", 0, 4_000, 0, 2_000)), 1);
   }
 
   private static void commit(History history, String attempts) {
@@ -137,7 +137,7 @@
               history -> {
                 commit(history, "0:1:vm-1");
                 history.phaseObserved("req-a", "withdrawn", 2);
-                history.started("vm-1", "req-a/0", 1, 3 + CANCEL);
+                history.started("vm-1", "req-a/0", 1, 3 + CANCEL_MICROS);
               }),
           new Case(
               "of a cancelled job",
