--- a/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
+++ b/src/test/java/gladeknot/scheduling/DeadlineOrderTest.java
@@ -28,8 +28,8 @@
 
 /** Tests the order of jobs with deadlines. Each task runs for 6 s, and one task runs at a time. */
 class DeadlineOrderTest {
-  private static final long SECOND_MICROS = 1_000_000;
-  private static final long NOW_MICROS = 1_000 * SECOND_MICROS;
+  private static final long MICROS_PER_SECOND = 1_000_000;
+  private static final long NOW_MICROS = 1_000 * MICROS_PER_SECOND;
 
   /**
    * A submitted job.
@@ -112,9 +112,11 @@
       long secondWithinSeconds) {
     List<Settings.Objective> objectives = new ArrayList<>(settings.objectives());
     objectives.add(
-        new Settings.Objective(firstKind, "batch", firstWithinSeconds * SECOND_MICROS, 0.99, 0));
+        new Settings.Objective(
+            firstKind, "batch", firstWithinSeconds * MICROS_PER_SECOND, 0.99, 0));
     objectives.add(
-        new Settings.Objective(secondKind, "batch", secondWithinSeconds * SECOND_MICROS, 0.99, 0));
+        new Settings.Objective(
+            secondKind, "batch", secondWithinSeconds * MICROS_PER_SECOND, 0.99, 0));
     return new Settings(
         settings.node(),
         settings.zone(),
@@ -142,7 +144,7 @@
     for (SubmittedJob submitted : testCase.jobs()) {
       Map<String, Object> spec = TestJobs.job(submitted.id(), "array", submitted.tasks());
       spec.put("dueS", submitted.deadlineSeconds());
-      long submittedMicros = NOW_MICROS - submitted.ageSeconds() * SECOND_MICROS;
+      long submittedMicros = NOW_MICROS - submitted.ageSeconds() * MICROS_PER_SECOND;
       jobs.onChange(
           Job.key(submitted.id()), new Entry(Json.of("s", spec, "h", 0, "t", submittedMicros), 1));
       slices.jobChanged(submitted.id(), jobs.active(submitted.id()));
--- a/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
+++ b/src/test/java/gladeknot/scheduling/PriorityInheritanceTest.java
@@ -15,14 +15,14 @@
 
 /** Tests what jobs inherit from the jobs that depend on them. */
 class PriorityInheritanceTest {
-  private static final long SECOND_MICROS = 1_000_000;
-  private static final long NOW_MICROS = 1_000 * SECOND_MICROS;
+  private static final long MICROS_PER_SECOND = 1_000_000;
+  private static final long NOW_MICROS = 1_000 * MICROS_PER_SECOND;
 
   /**
    * Run time of each task, plus the time from the end of a job until the tasks of its dependent
    * run, in microseconds.
    */
-  private static final long STEP_MICROS = 6 * SECOND_MICROS + 3 * SECOND_MICROS;
+  private static final long STEP_MICROS = 6 * MICROS_PER_SECOND + 3 * MICROS_PER_SECOND;
 
   private final JobRegistry jobs = new JobRegistry((before, now) -> {});
   private final PriorityInheritance inheritance =
@@ -50,10 +50,10 @@
     accept("req-d", "high", 100.0, "req-b", "req-c");
     assertEquals(JobSpec.Priority.HIGH, inheritance.priority(jobs.active("req-a")));
     assertEquals(
-        NOW_MICROS + 100 * SECOND_MICROS - 2 * STEP_MICROS,
+        NOW_MICROS + 100 * MICROS_PER_SECOND - 2 * STEP_MICROS,
         inheritance.latestEndMicros(jobs.active("req-a")));
     assertEquals(
-        NOW_MICROS + 100 * SECOND_MICROS - STEP_MICROS,
+        NOW_MICROS + 100 * MICROS_PER_SECOND - STEP_MICROS,
         inheritance.latestEndMicros(jobs.unfinished("req-c")));
   }
 
@@ -72,7 +72,7 @@
   void readyTimeIsTheEndOfTheLastDependency() {
     accept("req-a", "idle", null);
     accept("req-b", "idle", null, "req-a");
-    long endMicros = NOW_MICROS + 33 * SECOND_MICROS;
+    long endMicros = NOW_MICROS + 33 * MICROS_PER_SECOND;
     jobs.onChange(Job.key("req-a"), new Entry(JobRecordCodec.encodeDone(2, endMicros), ++revision));
     assertEquals(endMicros, jobs.active("req-b").readyMicros());
     // The first version's records do not contain the time when a job ended.
