--- a/src/test/java/gladeknot/app/FaultScenarios.java
+++ b/src/test/java/gladeknot/app/FaultScenarios.java
@@ -17,7 +17,7 @@
 final class FaultScenarios {
   private static final int MIN_ROUNDS = 10;
 
-  /** Enough for the largest cases, which start within four minutes; most settle much earlier. */
+  /** Maximum number of rounds; the largest cases start within four minutes, most settle earlier. */
   private static final int MAX_ROUNDS = 26;
 
   /** A cluster of the given number of controllers and the faults that are injected into it. */
--- a/src/test/java/gladeknot/app/LoadTest.java
+++ b/src/test/java/gladeknot/app/LoadTest.java
@@ -11,11 +11,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** No starvation under load, and no growth of the cost per task with the number of machines. */
+/**
+ * Tests that no job starves under load and that the cost per task does not grow with the number of
+ * machines.
+ */
 class LoadTest {
   /**
-   * Maximum average time from submission to start. Below half of the heartbeat interval, which is
-   * the average wait for the next heartbeat.
+   * Maximum average time from submission to start. It is below half of the heartbeat interval,
+   * which is the average wait for the next heartbeat.
    */
   private static final long MAX_WAIT_MICROS = 450_000;
 
@@ -24,7 +27,7 @@
     SimulatedCluster cluster = new SimulatedCluster(3, 31);
     cluster.run(3 * MICROS_PER_SECOND);
     int submitted = 0;
-    // The team's limit of 24 tasks of 6 s at once allows 4 per second; 6 per second are submitted.
+    // The team's limit is 24 concurrent tasks of 6 s, 4 per second; 6 per second are submitted.
     for (int second = 0; second < 15; second++) {
       cluster.submit(submitted % 3, TestJobs.job("req-small-" + submitted++, "array", 6));
       cluster.run(MICROS_PER_SECOND);
@@ -76,13 +79,13 @@
     double small = writesPerTask(12);
     double large = writesPerTask(120);
     assertTrue(large <= small, small + " writes per task on 12 machines, on 120: " + large);
-    // Far below one write per start and one per end.
+    // One write per start and one per end would be two writes per task.
     assertTrue(large < 0.7, large + " writes per task");
   }
 
   /**
-   * No internal limit is below the largest clusters. Each machine gets a task that fills it, so the
-   * records need more space than their first layout has. The tasks survive a restart of all
+   * No internal limit is too low for the largest clusters. Each machine gets a task that fills it,
+   * so the records need more space than their first layout has. The tasks survive a restart of all
    * controllers.
    */
   @Test
--- a/src/test/java/gladeknot/app/MachineFaultsTest.java
+++ b/src/test/java/gladeknot/app/MachineFaultsTest.java
@@ -188,7 +188,7 @@
     for (int i = 0; i < cluster.machineCount(); i++) {
       cluster.machineFaults().dropResponses(i, false);
     }
-    // Long before the leases of the workers expire, and without any heartbeat.
+    // Ends long before the leases of the workers expire, and without any heartbeat.
     cluster.run(2_300_000);
     // then
     assertEquals(Map.of(), cluster.zones("req-web"));
--- a/src/test/java/gladeknot/app/QuotaLimitsTest.java
+++ b/src/test/java/gladeknot/app/QuotaLimitsTest.java
@@ -148,8 +148,8 @@
   }
 
   /**
-   * Returns the violations other than those of stored records, which the tests make wrong on
-   * purpose. Only the tasks on machines count here.
+   * Returns the violations other than those of stored records, which the tests corrupt
+   * deliberately. Only violations by tasks on machines remain.
    */
   private static List<String> violations(SimulatedCluster cluster) {
     return cluster.violations().stream()
--- a/src/test/java/gladeknot/app/SimulatedClusterTest.java
+++ b/src/test/java/gladeknot/app/SimulatedClusterTest.java
@@ -79,7 +79,7 @@
                   cluster.faults().disconnectFromWorkers(i, false);
                 }
                 cluster.run(400_000);
-                // The machines do not count as never started, and no replacements are rented.
+                // The machines must not count as never started, so no replacements are rented.
                 assertEquals(rentals, cluster.cloud().rentals());
                 assertTrue(
                     cluster.rented().containsAll(before), "some of these were released: " + before);
@@ -179,7 +179,8 @@
               "machines receive no traffic: all are replaced",
               23,
               cluster -> {
-                // With one controller left, each machine contacts it again before a lease expires.
+                // With one running controller, each machine contacts it again before a lease
+                // expires.
                 cluster.kill(1);
                 cluster.kill(2);
                 cluster.run(20 * MICROS_PER_SECOND);
@@ -251,7 +252,7 @@
                 for (int i = 0; i < cluster.machineCount(); i++) {
                   cluster.machineFaults().reboot(i);
                 }
-                // Shorter than the heartbeat timeout plus the time to replace machines.
+                // This is shorter than the heartbeat timeout plus the time to replace machines.
                 cluster.run(7 * MICROS_PER_SECOND);
                 assertEquals(4, FaultScenarios.runningTasks(cluster, "req-web"));
               }),
--- a/src/test/java/gladeknot/connectivity/FailoverOffersTest.java
+++ b/src/test/java/gladeknot/connectivity/FailoverOffersTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Suppression of offers by flap damping: only changes of owner count, and only for a while. */
+/** Suppression of offers by flap damping: it counts changes of owner only, and it expires. */
 class FailoverOffersTest {
   private static final long MICROS_PER_SECOND = 1_000_000;
 
--- a/src/test/java/gladeknot/connectivity/PartialCutsTest.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsTest.java
@@ -258,7 +258,7 @@
     }
     cluster.faults().links().heal();
     cluster.run(100 * MICROS_PER_SECOND);
-    // 40 + 3 + 4 + 5 + 10 * 12 tasks; once the partition heals, no needless attempts are started.
+    // 40 + 3 + 4 + 5 + 10 * 12 tasks; the heal of the partition must cause no needless attempts.
     int tasks = 172;
     assertTrue(cluster.starts() >= tasks, "starts: " + cluster.starts());
     assertTrue(cluster.starts() <= tasks + MAX_REPEATED_STARTS, "starts: " + cluster.starts());
--- a/src/test/java/gladeknot/golden/GoldenLifeTest.java
+++ b/src/test/java/gladeknot/golden/GoldenLifeTest.java
@@ -114,8 +114,9 @@
   }
 
   /**
-   * Waits for the release of the idle machine, which sends no heartbeats. Its record is first
-   * marked as being released, and replaced by a permanent marker once the instance is deleted.
+   * Waits for the release of the idle machine, which sends no heartbeats. Its record first says
+   * that it is being released. Once the instance is deleted, a permanent tombstone replaces the
+   * record.
    */
   private void releaseMachine() {
     cluster.wallClockMicros += LONG_WAIT_MICROS;
@@ -141,7 +142,7 @@
     heartbeats.put(name, worker.heartbeat(NODE));
   }
 
-  /** Sends heartbeats until a condition holds and keeps the last one with its answer. */
+  /** Sends heartbeats until a condition holds and keeps the last one with its response. */
   private void heartbeatUntil(String name, BooleanSupplier condition) {
     heartbeat(name);
     for (int i = 0; !condition.getAsBoolean(); i++) {
--- a/src/test/java/gladeknot/golden/GoldenWorker.java
+++ b/src/test/java/gladeknot/golden/GoldenWorker.java
@@ -32,7 +32,7 @@
     cluster.machineResponses = this::serveDirectCall;
   }
 
-  /** Sends a heartbeat and applies the answer; returns both as text. */
+  /** Sends a heartbeat and applies the response; returns both as text. */
   String heartbeat(int node) {
     worker.advance(cluster.nowMicros());
     Map<String, Object> report = worker.report();
--- a/src/test/java/gladeknot/golden/GoldenWorkersTest.java
+++ b/src/test/java/gladeknot/golden/GoldenWorkersTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Guards the answers to workers' heartbeats that {@link GoldenLifeTest} does not cover. */
+/** Guards the responses to workers' heartbeats that {@link GoldenLifeTest} does not cover. */
 class GoldenWorkersTest {
   private static final int MEMBERS = 3;
   private static final String HOST = "vm-000231";
--- a/src/test/java/gladeknot/standin/FakeCloud.java
+++ b/src/test/java/gladeknot/standin/FakeCloud.java
@@ -60,13 +60,13 @@
     return List.copyOf(machines.values());
   }
 
-  /** Takes a machine back without a request to release it. */
+  /** Reclaims a machine without a request to release it. */
   public void reclaim(String host) {
     machines.remove(host);
     changes++;
   }
 
-  /** Returns the number of times that machines have been rented, released or taken back. */
+  /** Returns the number of times that machines have been rented, released or reclaimed. */
   public long changes() {
     return changes;
   }
--- a/src/test/java/gladeknot/standin/FakeWorker.java
+++ b/src/test/java/gladeknot/standin/FakeWorker.java
@@ -80,7 +80,7 @@
   private long leaseRenewedMicros;
   private long nowMicros;
 
-  /** Time at which the cloud takes the machine back; 0 if it has not announced that. */
+  /** Time at which the cloud reclaims the machine; 0 if no reclaim was announced. */
   private long reclaimAtMicros;
 
   private TaskListener taskListener = NO_LISTENER;
@@ -213,7 +213,7 @@
     Json.objects(answer, "orders").forEach(this::execute);
   }
 
-  /** Announces that the cloud takes the machine back at the given time. */
+  /** Announces that the cloud reclaims the machine at the given time. */
   public void announceReclaim(long atMicros) {
     reclaimAtMicros = atMicros;
   }
--- a/src/test/java/gladeknot/standin/HeartbeatSender.java
+++ b/src/test/java/gladeknot/standin/HeartbeatSender.java
@@ -117,7 +117,7 @@
             clock.schedule(faults.commandDelayMicros(), () -> receive(machine, pending, response)));
   }
 
-  /** Handles a response; drops it if the worker has given the heartbeat up or can't receive. */
+  /** Handles a response; drops it if the heartbeat is not in flight or the worker can't receive. */
   private void receive(SimulatedMachine machine, Pending pending, Outbox.Answer response) {
     if (pending.finished
         || machine.dropsResponses()
--- a/src/test/java/gladeknot/standin/History.java
+++ b/src/test/java/gladeknot/standin/History.java
@@ -16,8 +16,8 @@
 /**
  * Records what users, workers and the state service observe, and checks the history: one final
  * phase per job, no job forgotten, no overlapping attempts of a task, no team over its limit, no
- * start before its commit, no execution of a cancelled job after the cancellation time.
- * Controllers' own reports are not evidence.
+ * start before its commit, no execution of a cancelled job after the cancellation time. What
+ * controllers report about themselves is not used as evidence.
  */
 public final class History implements FakeStateStore.ChangeListener {
   private static final String DONE = "done";
@@ -151,7 +151,7 @@
     }
   }
 
-  /** Returns whether a user has been told that a job is accepted. */
+  /** Returns whether a user has received the answer that a job is accepted. */
   public synchronized boolean isAccepted(String job) {
     return accepted.contains(job);
   }
--- a/src/test/java/gladeknot/standin/JobDependencyRules.java
+++ b/src/test/java/gladeknot/standin/JobDependencyRules.java
@@ -15,7 +15,7 @@
 final class JobDependencyRules {
   private final Map<String, List<String>> dependencies = new HashMap<>();
   private final Set<String> cancelRequested = new HashSet<>();
-  private final Map<String, Long> cancelConfirmed = new HashMap<>();
+  private final Map<String, Long> cancelConfirmedMicros = new HashMap<>();
 
   void submitted(String id, List<String> waitsOn) {
     dependencies.put(id, waitsOn);
@@ -26,8 +26,8 @@
   }
 
   /** Records that a controller answered that a job is cancelled; only the first answer counts. */
-  void cancelConfirmed(String id, long now) {
-    cancelConfirmed.putIfAbsent(id, now);
+  void cancelConfirmed(String id, long nowMicros) {
+    cancelConfirmedMicros.putIfAbsent(id, nowMicros);
   }
 
   /** Returns whether a job has a dependency that is not done. */
@@ -40,11 +40,17 @@
     return withTransitiveDependencies(id).stream().anyMatch(cancelRequested::contains);
   }
 
-  /** Returns whether a transitive dependency was confirmed cancelled over {@code limit} ago. */
-  boolean cancellationOverdue(String id, long now, long limit) {
+  /**
+   * Returns whether a transitive dependency was confirmed cancelled more than {@code limitMicros}
+   * ago.
+   */
+  boolean cancellationOverdue(String id, long nowMicros, long limitMicros) {
     return withTransitiveDependencies(id).stream()
         .filter(dependency -> !dependency.equals(id))
-        .anyMatch(dependency -> now - cancelConfirmed.getOrDefault(dependency, now) > limit);
+        .anyMatch(
+            dependency ->
+                nowMicros - cancelConfirmedMicros.getOrDefault(dependency, nowMicros)
+                    > limitMicros);
   }
 
   private Set<String> withTransitiveDependencies(String id) {
--- a/src/test/java/gladeknot/standin/LoopbackServices.java
+++ b/src/test/java/gladeknot/standin/LoopbackServices.java
@@ -216,17 +216,17 @@
   /** Waits for a change or the end of the watch. An open watch stays open through an outage. */
   private ServiceResponse awaitChange(int node, String method, String uri, byte[] body)
       throws IOException {
-    long until = now() + Long.parseLong(FakeStateStore.query(uri).get("waitMs")) * 1000;
+    long endMicros = now() + Long.parseLong(FakeStateStore.query(uri).get("waitMs")) * 1000;
     long from = Long.parseLong(FakeStateStore.query(uri).get("from"));
     while (true) {
       if (!stateFaults.refuses(node)) {
         synchronized (this) {
           advanceState();
-          if (now() >= until || state.changedSince(from)) {
+          if (now() >= endMicros || state.changedSince(from)) {
             return state.serve(method, uri, body);
           }
         }
-      } else if (now() >= until + WATCH_MARGIN_MICROS) {
+      } else if (now() >= endMicros + WATCH_MARGIN_MICROS) {
         throw new IOException(
             "the state service refuses this controller, the watch gets no response");
       }
--- a/src/test/java/gladeknot/standin/LoopbackSoak.java
+++ b/src/test/java/gladeknot/standin/LoopbackSoak.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 
 /**
- * Plays one seed on real processes: three controllers, teams near their limits of CPUs and GPUs,
+ * Runs one seed on real processes: three controllers, teams near their limits of CPUs and GPUs,
  * users that submit, cancel, poll and resubmit jobs at all nodes, and overlapping {@link
  * LoopbackFaults}. The result depends on the recorded {@link History} and on the invariants that
  * the controllers check themselves, never on speed.
@@ -36,7 +36,7 @@
   /** CPUs of each small task; many small tasks fill the segments. */
   private static final double SMALL_CPUS = 0.02;
 
-  /** CPUs of each large task; large tasks stay pending until a shard with room claims them. */
+  /** CPUs of each large task; large tasks stay pending until a shard with capacity claims them. */
   private static final double LARGE_CPUS = 1.5;
 
   /** Interval between the seeds that have a few hundred machines. */
@@ -97,7 +97,7 @@
   }
 
   /**
-   * Plays the seed and returns the problems found. If there are any, the schedule, the logs and the
+   * Runs the seed and returns the problems found. If there are any, the schedule, the logs and the
    * problems are kept in the directory.
    */
   public List<String> run() throws IOException, InterruptedException {
@@ -146,8 +146,8 @@
       problems.add("no segment was split");
     }
     LoopbackFaults faults = new LoopbackFaults(cluster, CONTROLLERS, seed);
-    long until = LoopbackServices.now() + faultMillis * 1000;
-    while (LoopbackServices.now() < until) {
+    long deadlineMicros = LoopbackServices.now() + faultMillis * 1000;
+    while (LoopbackServices.now() < deadlineMicros) {
       faults.step();
       if (isSplitting(seed)) {
         faults.holdBackWatches();
@@ -206,7 +206,9 @@
     return job;
   }
 
-  /** Returns a job of many small tasks, which fill segments, or of large tasks, which pend. */
+  /**
+   * Returns a job of many small tasks, which fill segments, or of large tasks, which stay pending.
+   */
   private static Map<String, Object> smallOrWaitingJob(String id, SplittableRandom random) {
     boolean small = random.nextBoolean();
     String shape =
@@ -284,9 +286,9 @@
   }
 
   private static boolean await(long millis, Condition condition) {
-    long until = LoopbackServices.now() + millis * 1000;
+    long deadlineMicros = LoopbackServices.now() + millis * 1000;
     while (!condition.holds()) {
-      if (LoopbackServices.now() > until) {
+      if (LoopbackServices.now() > deadlineMicros) {
         return false;
       }
       LoopbackServices.pause(200);
--- a/src/test/java/gladeknot/standin/LoopbackUsers.java
+++ b/src/test/java/gladeknot/standin/LoopbackUsers.java
@@ -117,8 +117,8 @@
   /** Submits a job until it is accepted or 30 s have passed; returns whether it was accepted. */
   public boolean submitUntilAccepted(String job) {
     byte[] body = Json.bytes(submissions.get(job));
-    long until = LoopbackServices.now() + SUBMIT_DEADLINE_MICROS;
-    while (LoopbackServices.now() < until) {
+    long deadlineMicros = LoopbackServices.now() + SUBMIT_DEADLINE_MICROS;
+    while (LoopbackServices.now() < deadlineMicros) {
       if (recordResponse(job, send(node(), "POST", "/work", body, SUBMIT_TIMEOUT))) {
         checkAllNodes(job);
         return true;
--- a/src/test/java/gladeknot/standin/MachineFaults.java
+++ b/src/test/java/gladeknot/standin/MachineFaults.java
@@ -46,8 +46,8 @@
 
   /**
    * Drops all responses and commands to a machine while its heartbeats get through, or ends this.
-   * Here dead machines are numbered too until they are released. Does nothing if there is no
-   * machine of this number.
+   * Unlike in the other methods, dead machines count in the numbering until they are released. Does
+   * nothing if there is no machine of this number.
    */
   public void dropResponses(int nth, boolean on) {
     List<SimulatedMachine> all = List.copyOf(machines.all());
@@ -104,10 +104,7 @@
     machines.reboot(machines.alive().get(nth));
   }
 
-  /**
-   * Makes the cloud announce that it takes a machine back, and take it back after the notice
-   * period.
-   */
+  /** Makes the cloud announce the reclaim of a machine, and reclaim it after the notice period. */
   public void reclaim(String host, long noticeMicros) {
     machines.byHost(host).orElseThrow().worker().announceReclaim(clock.now() + noticeMicros);
     clock.schedule(noticeMicros, () -> cloud.reclaim(host));
--- a/src/test/java/gladeknot/standin/ObservedJob.java
+++ b/src/test/java/gladeknot/standin/ObservedJob.java
@@ -131,7 +131,7 @@
     return lastPollAnswerMicros;
   }
 
-  /** Records that a user was told that the job is cancelled; only the first time counts. */
+  /** Records that a controller answered that the job is cancelled; only the first answer counts. */
   void cancellationConfirmed(long now) {
     if (cancelledSinceMicros.isEmpty()) {
       cancelledSinceMicros = OptionalLong.of(now);
--- a/src/test/java/gladeknot/standin/PartialCutsMeasurement.java
+++ b/src/test/java/gladeknot/standin/PartialCutsMeasurement.java
@@ -88,7 +88,7 @@
     cluster.run(20 * MICROS_PER_SECOND + seed % 10 * MICROS_PER_SECOND / 10);
     long termsBefore = cluster.terms();
     int startsBefore = cluster.starts();
-    long faultStart = cluster.now();
+    long faultStartMicros = cluster.now();
     double failoverSeconds = Double.NaN;
     for (long elapsed = 0; elapsed < FAULT_MICROS; elapsed += STEP_MICROS) {
       boolean on =
@@ -97,7 +97,7 @@
       schedule.inject().accept(cluster, on);
       cluster.run(STEP_MICROS);
       if (Double.isNaN(failoverSeconds) && !"node-0".equals(cluster.owner(FAULTY_NODE))) {
-        failoverSeconds = (cluster.now() - faultStart) / (double) MICROS_PER_SECOND;
+        failoverSeconds = (cluster.now() - faultStartMicros) / (double) MICROS_PER_SECOND;
       }
     }
     schedule.inject().accept(cluster, false);
@@ -114,23 +114,23 @@
   }
 
   /**
-   * Returns the seconds from the fault to the faulty controller's last command. Small jobs arrive
-   * all the while.
+   * Returns the seconds from the fault to the faulty controller's last command. Small jobs are
+   * submitted throughout the run.
    */
   private static double secondsToLastCommand(Schedule schedule, Features features, long seed) {
     SimulatedCluster cluster = new SimulatedCluster(3, seed, ClusterScale.SMALL, features);
     cluster.run(3 * MICROS_PER_SECOND);
     int jobCount = 0;
-    long faultStart = 0;
+    long faultStartMicros = 0;
     for (int second = 0; second < COMMAND_RUN_SECONDS; second++) {
       if (second == COMMAND_RUN_SECONDS / 3) {
         schedule.inject().accept(cluster, true);
-        faultStart = cluster.now();
+        faultStartMicros = cluster.now();
       }
       cluster.submit(jobCount % 3, TestJobs.job("req-small" + jobCount++, "array", 3));
       cluster.run(MICROS_PER_SECOND);
     }
-    return (cluster.lastCommandMicros(FAULTY_NODE) - faultStart) / (double) MICROS_PER_SECOND;
+    return (cluster.lastCommandMicros(FAULTY_NODE) - faultStartMicros) / (double) MICROS_PER_SECOND;
   }
 
   private static void printLastCommands(int seeds) {
--- a/src/test/java/gladeknot/standin/ReturnedMachinesChecker.java
+++ b/src/test/java/gladeknot/standin/ReturnedMachinesChecker.java
@@ -6,7 +6,7 @@
 
 /**
  * Checks that no machine is registered again after it was released. That would happen if a
- * controller believed a late duplicate of a heartbeat.
+ * controller accepted a late duplicate of a heartbeat from a released machine.
  */
 final class ReturnedMachinesChecker {
   private static final String MACHINE_PREFIX = "g/w/";
--- a/src/test/java/gladeknot/standin/SimulatedCluster.java
+++ b/src/test/java/gladeknot/standin/SimulatedCluster.java
@@ -20,7 +20,7 @@
  * simulation repeats itself exactly for the same seed.
  */
 public final class SimulatedCluster {
-  /** One second in microseconds, the unit of all times here. */
+  /** Number of microseconds in a second; all simulated times are in microseconds. */
   public static final long MICROS_PER_SECOND = SimulatedClock.MICROS_PER_SECOND;
 
   private static final long BOOT_MICROS = 3 * MICROS_PER_SECOND;
@@ -90,7 +90,7 @@
     controllers.startAll(count);
   }
 
-  /** Lets time pass in small steps, and checks the invariants after each step. */
+  /** Advances the simulated time in small steps, and checks the invariants after each step. */
   public void run(long micros) {
     long endMicros = clock.now() + micros;
     while (clock.now() < endMicros) {
@@ -182,7 +182,7 @@
   }
 
   /**
-   * Makes a controller look like one of the first version to the other controllers, or ends this.
+   * Makes a controller appear as one of the first version to the other controllers, or ends this.
    */
   public void impersonateFirstVersion(int node, boolean on) {
     network.impersonateFirstVersion(node, on);
@@ -196,7 +196,7 @@
 
   /** Sets the duration of the tasks that end by themselves, in microseconds. */
   public void taskDuration(long micros) {
-    durations.setUsual(micros);
+    durations.setDefault(micros);
   }
 
   /** Sends a request to a controller; a controller that is down does not answer. */
@@ -281,13 +281,13 @@
     return network.stateCalls();
   }
 
-  /** Returns how often shards have got a new owner or a new term since the beginning. */
+  /** Returns how often a shard has got a new owner or a new term since the beginning. */
   public long terms() {
     Map<String, Object> counter = state.get("g/term");
     return counter == null ? 0 : Json.num(counter, "n", 0);
   }
 
-  /** Returns the name of the controller that owns a shard, according to the shard's key. */
+  /** Returns the name of the controller that owns a shard, according to its record. */
   public String owner(int shard) {
     return Json.text(state.get("g/shard/" + shard), "owner");
   }
--- a/src/test/java/gladeknot/standin/SoakCommand.java
+++ b/src/test/java/gladeknot/standin/SoakCommand.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * Plays seeds of {@link LoopbackSoak} one after the other and prints a line for each: {@code java
+ * Runs seeds of {@link LoopbackSoak} one after the other and prints a line for each: {@code java
  * -cp target/gladeknot.jar:target/test-classes gladeknot.standin.SoakCommand FIRST_SEED SEEDS
  * [SECONDS]}. A failed seed leaves its schedule, logs and problems in {@code target/soak/}. The
- * same command plays the seed again. The exit code is 1 if a seed failed, 2 on bad arguments.
+ * same command runs the seed again. The exit code is 1 if a seed failed, 2 on bad arguments.
  */
 public final class SoakCommand {
   private static final int EXIT_FAILED = 1;
--- a/src/test/java/gladeknot/standin/StandInServer.java
+++ b/src/test/java/gladeknot/standin/StandInServer.java
@@ -19,7 +19,7 @@
 
 /**
  * Fake services behind real sockets on loopback, and settings files for controllers. {@code main
- * DIR} runs until it is killed. {@code main DIR train COMMAND...} starts one controller, plays a
+ * DIR} runs until it is killed. {@code main DIR train COMMAND...} starts one controller, runs a
  * short session with it and terminates it normally.
  */
 public final class StandInServer {
@@ -63,7 +63,7 @@
     return Json.bytes(job);
   }
 
-  /** Plays a short session that loads the classes which ordinary operation uses. */
+  /** Runs a short session that loads the classes that ordinary operation uses. */
   private void train(Path dir, List<String> command) throws IOException, InterruptedException {
     services.start(dir, 1);
     List<String> commandLine = new ArrayList<>(command);
@@ -95,9 +95,9 @@
   }
 
   private static void await(Condition condition) throws IOException {
-    long until = LoopbackServices.now() + TRAINING_TIMEOUT_MICROS;
+    long deadlineMicros = LoopbackServices.now() + TRAINING_TIMEOUT_MICROS;
     while (!condition.holds()) {
-      if (LoopbackServices.now() > until) {
+      if (LoopbackServices.now() > deadlineMicros) {
         throw new IOException("the controller does not get there in 30 s");
       }
       LoopbackServices.pause(100);
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Serves until the process is killed, or trains a controller; see README. */
+  /** Serves until the process is killed, or runs a controller to record its classes; see README. */
   public static void main(String[] args) throws Exception {
     StandInServer server = new StandInServer();
     Path dir = Path.of(args[0]);
--- a/src/test/java/gladeknot/standin/StoredSliceChecker.java
+++ b/src/test/java/gladeknot/standin/StoredSliceChecker.java
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Reports tasks that were claimed from a slice although they had been started there. */
+  /** Reports tasks that were claimed from a slice although the slice records a start of them. */
   private void checkStartedTasksStay(String job, Object before, Object after) {
     if (before == null || after == null) {
       return;
--- a/src/test/java/gladeknot/standin/TaskDurations.java
+++ b/src/test/java/gladeknot/standin/TaskDurations.java
@@ -11,7 +11,7 @@
   private long defaultMicros = 6 * MICROS_PER_SECOND;
 
   /** Sets the duration of the tasks that end by themselves, in microseconds. */
-  void setUsual(long micros) {
+  void setDefault(long micros) {
     defaultMicros = micros;
   }
 
