--- a/tools/fingerprints.sh
+++ b/tools/fingerprints.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# Compares what the controllers of all simulated clusters send with what is recorded, a line for
-# each cluster of each test case; docs/development.md says more.
+# Compares everything that the controllers of all simulated clusters send with the recorded
+# fingerprints. There is one line per cluster and test case; docs/development.md has details.
 #
 # Usage: tools/fingerprints.sh compare | record
 #
-# FINGERPRINT_TESTS names some of the test classes instead of all, for a quick comparison.
+# FINGERPRINT_TESTS restricts a run to the named test classes, for a quick comparison.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 recorded=src/test/fingerprints/clusters.txt
 measured=$PWD/target/fingerprints.txt
-# Property tests draw their own schedules, and have no cases to compare.
+# Property tests generate random schedules, so they have no fixed cases to compare.
 tests=$(grep -rlE 'new SimulatedCluster\(|FaultScenarios\.' src/test/java --include='*Test.java' |
   grep -v PropertiesTest | xargs -n 1 basename -s .java | paste -sd, -)
 mkdir -p target "$(dirname "$recorded")"
@@ -21,7 +21,7 @@
   record) cp "$measured" "$recorded" ;;
   compare)
     if [ -n "${FINGERPRINT_TESTS:-}" ]; then
-      # Only some lines were measured: each of them has to be among the recorded ones.
+      # Only some test classes ran: each measured line must be among the recorded lines.
       diff <(LC_ALL=C comm -13 "$recorded" "$measured") /dev/null
     else
       diff "$recorded" "$measured"
