--- a/src/test/java/gladeknot/golden/GoldenWorker.java
+++ b/src/test/java/gladeknot/golden/GoldenWorker.java
@@ -35,14 +35,14 @@
   /** Sends a heartbeat and applies the response; returns both as text. */
   String heartbeat(int node) {
     worker.advance(cluster.nowMicros());
-    Map<String, Object> report = worker.report();
+    Map<String, Object> heartbeat = worker.heartbeat();
     long sentMicros = cluster.nowMicros();
     long incarnation = worker.incarnation();
-    Outbox.Answer answer = cluster.request(node, "POST", "/hello", Json.bytes(report));
+    Outbox.Answer answer = cluster.request(node, "POST", "/hello", Json.bytes(heartbeat));
     if (answer.status() == OK) {
       worker.handleResponse(object(answer.body()), sentMicros, incarnation);
     }
-    return CanonicalJson.of(report) + "\n" + GoldenCluster.text(answer);
+    return CanonicalJson.of(heartbeat) + "\n" + GoldenCluster.text(answer);
   }
 
   /** Returns whether the machine has an attempt of a task that has not ended. */
@@ -53,7 +53,7 @@
   private ServiceResponse serveDirectCall(Outbox.Call call) {
     worker.advance(cluster.nowMicros());
     return call.path().equals("/status")
-        ? new ServiceResponse(OK, worker.report())
+        ? new ServiceResponse(OK, worker.heartbeat())
         : worker.executeCommands(object(call.body()));
   }
 
--- a/src/test/java/gladeknot/standin/FakeWorker.java
+++ b/src/test/java/gladeknot/standin/FakeWorker.java
@@ -178,7 +178,7 @@
   }
 
   /** Returns the worker's next heartbeat. */
-  public Map<String, Object> report() {
+  public Map<String, Object> heartbeat() {
     heartbeatNumber++;
     List<Object> reported = new ArrayList<>();
     for (Task task : tasks.values()) {
@@ -186,17 +186,17 @@
           Json.of(
               "strand", task.name, "try", task.attempt, "phase", task.phase, "cause", task.cause));
     }
-    Map<String, Object> report = Json.of("host", machine.id(), "endpoint", endpoint);
-    report.put("hosttype", machine.type());
-    report.put("glade", machine.zone());
-    report.put("loaners", machine.spot());
-    report.put("tenure", incarnation);
-    report.put("tick", heartbeatNumber);
-    report.put("fence", highestToken);
-    report.put(
+    Map<String, Object> heartbeat = Json.of("host", machine.id(), "endpoint", endpoint);
+    heartbeat.put("hosttype", machine.type());
+    heartbeat.put("glade", machine.zone());
+    heartbeat.put("loaners", machine.spot());
+    heartbeat.put("tenure", incarnation);
+    heartbeat.put("tick", heartbeatNumber);
+    heartbeat.put("fence", highestToken);
+    heartbeat.put(
         "recallS", reclaimAtMicros == 0 ? null : (reclaimAtMicros - nowMicros) / MICROS_PER_SECOND);
-    report.put("strands", reported);
-    return report;
+    heartbeat.put("strands", reported);
+    return heartbeat;
   }
 
   /**
@@ -245,11 +245,11 @@
   public ServiceResponse executeCommands(Map<String, Object> body) {
     long receivedToken = Json.num(body, "fence", -1);
     if (receivedToken < highestToken || Json.num(body, "tenure", -1) != incarnation) {
-      return new ServiceResponse(409, report());
+      return new ServiceResponse(409, heartbeat());
     }
     highestToken = receivedToken;
     Json.objects(body, "orders").forEach(this::execute);
-    return new ServiceResponse(200, report());
+    return new ServiceResponse(200, heartbeat());
   }
 
   private void execute(Map<String, Object> command) {
--- a/src/test/java/gladeknot/standin/HeartbeatSender.java
+++ b/src/test/java/gladeknot/standin/HeartbeatSender.java
@@ -67,7 +67,7 @@
   /** Sends a machine's heartbeat, and a late duplicate if that fault is on. */
   void send(SimulatedMachine machine) {
     Pending pending = new Pending(machine, clock.now());
-    Map<String, Object> heartbeat = pending.worker.report();
+    Map<String, Object> heartbeat = pending.worker.heartbeat();
     machine.heartbeatSent(clock.now() + ClusterSettings.HEARTBEAT_INTERVAL_MICROS);
     clock.schedule(
         TIMEOUT_MICROS,
--- a/src/test/java/gladeknot/standin/LoopbackWorker.java
+++ b/src/test/java/gladeknot/standin/LoopbackWorker.java
@@ -157,7 +157,7 @@
     }
     worker.advance(LoopbackServices.now());
     return uri.equals("/status")
-        ? new ServiceResponse(200, worker.report())
+        ? new ServiceResponse(200, worker.heartbeat())
         : worker.executeCommands(Json.object(body));
   }
 
@@ -198,7 +198,7 @@
       sentMicros = LoopbackServices.now();
       worker.advance(sentMicros);
       incarnation = worker.incarnation();
-      heartbeat = worker.report();
+      heartbeat = worker.heartbeat();
     }
     heartbeat.put("endpoint", services.workerAddress(target, address));
     byte[] body = Json.bytes(heartbeat);
--- a/src/test/java/gladeknot/standin/MachineFaults.java
+++ b/src/test/java/gladeknot/standin/MachineFaults.java
@@ -112,7 +112,7 @@
 
   /** Captures the heartbeat that each machine would send now. */
   public void captureHeartbeats() {
-    machines.alive().forEach(machine -> capturedHeartbeats.add(machine.worker().report()));
+    machines.alive().forEach(machine -> capturedHeartbeats.add(machine.worker().heartbeat()));
   }
 
   /** Delivers the captured heartbeats to a controller. */
--- a/src/test/java/gladeknot/standin/SimulatedMachine.java
+++ b/src/test/java/gladeknot/standin/SimulatedMachine.java
@@ -120,7 +120,7 @@
     }
     return Optional.of(
         call.path().equals("/status")
-            ? new ServiceResponse(200, worker.report())
+            ? new ServiceResponse(200, worker.heartbeat())
             : worker.executeCommands(Json.object(call.body())));
   }
 
