--- a/src/test/java/gladeknot/app/CancellationTest.java
+++ b/src/test/java/gladeknot/app/CancellationTest.java
@@ -62,7 +62,7 @@
       while (cluster.doneTasks("req-end") < 1) {
         cluster.run(10_000);
       }
-      cluster.faults().loseCommitResponses(offset % 4 == 3 ? 1 : 0);
+      cluster.faults().loseCommitAnswers(offset % 4 == 3 ? 1 : 0);
       cluster.faults().delayLostCommits(offset % 8 == 7 ? 4 * MICROS_PER_SECOND : 0);
       cluster.run(offset * 60_000L);
       // when
--- a/src/test/java/gladeknot/app/OwnershipFaultsTest.java
+++ b/src/test/java/gladeknot/app/OwnershipFaultsTest.java
@@ -27,7 +27,7 @@
                 cluster.submit(2, TestJobs.job("req-far3", "array", 3));
                 cluster.run(3 * MICROS_PER_SECOND);
                 cluster.kill(0);
-                cluster.faults().loseCommitResponses(2);
+                cluster.faults().loseCommitAnswers(2);
                 cluster.run(18 * MICROS_PER_SECOND);
                 cluster.start(0);
                 cluster.run(2 * MICROS_PER_SECOND);
--- a/src/test/java/gladeknot/app/SimulatedClusterTest.java
+++ b/src/test/java/gladeknot/app/SimulatedClusterTest.java
@@ -135,7 +135,7 @@
               "commits get no answer but are applied",
               11,
               cluster -> {
-                cluster.faults().loseCommitResponses(3);
+                cluster.faults().loseCommitAnswers(3);
                 cluster.run(20 * MICROS_PER_SECOND);
               }),
           new Case(
@@ -143,7 +143,7 @@
               12,
               cluster -> {
                 cluster.faults().delayLostCommits(6 * MICROS_PER_SECOND);
-                cluster.faults().loseCommitResponses(4);
+                cluster.faults().loseCommitAnswers(4);
                 cluster.run(30 * MICROS_PER_SECOND);
               }),
           new Case(
@@ -265,7 +265,7 @@
                   cluster.kill(1);
                   cluster.run(i % 2 == 0 ? 9_400_000 : 150_000);
                   cluster.start(1);
-                  cluster.faults().loseCommitResponses(1);
+                  cluster.faults().loseCommitAnswers(1);
                   cluster.run(700_000);
                 }
                 cluster.run(20 * MICROS_PER_SECOND);
@@ -283,7 +283,7 @@
                 cluster.kill(2);
                 cluster.run(200_000);
                 cluster.start(2);
-                cluster.faults().loseCommitResponses(2);
+                cluster.faults().loseCommitAnswers(2);
                 cluster.faults().delayLostCommits(4 * MICROS_PER_SECOND);
                 cluster.run(25 * MICROS_PER_SECOND);
                 cluster.faults().disconnectFromState(0, false);
--- a/src/test/java/gladeknot/connectivity/PartialCutsPropertiesTest.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsPropertiesTest.java
@@ -54,7 +54,7 @@
         case DELIVER_PEER -> cluster.faults().links().setPeerDropped(node, other, false);
         case REFUSE_STATE -> cluster.faults().rejectStateCalls(node, true);
         case ACCEPT_STATE -> cluster.faults().rejectStateCalls(node, false);
-        case LOSE_COMMIT_RESPONSE -> cluster.faults().loseOneMoreCommitResponse();
+        case LOSE_COMMIT_RESPONSE -> cluster.faults().loseOneMoreCommitAnswer();
         case LATE_WRITES -> cluster.faults().lateCommitShare(0.3);
         case TIMELY_WRITES -> cluster.faults().lateCommitShare(0);
         case SLOW_PEERS -> cluster.faults().delayPeerMessages(tenths * MICROS_PER_SECOND / 2);
--- a/src/test/java/gladeknot/connectivity/PartialCutsTest.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsTest.java
@@ -186,7 +186,7 @@
 
   private static void ownerReturns(SimulatedCluster cluster) {
     for (int i = 0; i < 24; i++) {
-      cluster.faults().loseCommitResponses(i % 2);
+      cluster.faults().loseCommitAnswers(i % 2);
       cluster.faults().links().setDropped(0, Direction.STATE_ANSWERS, true);
       cluster.run(4_500_000 + i * 100_000L);
       cluster.faults().links().setDropped(0, Direction.STATE_ANSWERS, false);
@@ -196,7 +196,7 @@
 
   private static void ownerRestarts(SimulatedCluster cluster) {
     for (int i = 0; i < 24; i++) {
-      cluster.faults().loseCommitResponses(i % 2);
+      cluster.faults().loseCommitAnswers(i % 2);
       cluster.faults().links().setDropped(0, Direction.STATE_ANSWERS, true);
       cluster.run(4_500_000 + i * 100_000L);
       cluster.kill(0);
@@ -209,7 +209,7 @@
 
   private static void cancellation(SimulatedCluster cluster) {
     cluster.submit(0, TestJobs.job("req-new", "array", 8));
-    cluster.faults().loseCommitResponses(2);
+    cluster.faults().loseCommitAnswers(2);
     cluster.run(MICROS_PER_SECOND);
     cluster.faults().links().setDropped(0, Direction.STATE_ANSWERS, true);
     cluster.run(200_000);
--- a/src/test/java/gladeknot/standin/FaultInjection.java
+++ b/src/test/java/gladeknot/standin/FaultInjection.java
@@ -30,7 +30,7 @@
   private Optional<HeldCommit> heldCommit = Optional.empty();
   private boolean stateOutage;
   private boolean duplicateHeartbeats;
-  private int commitResponsesToLose;
+  private int commitAnswersToLose;
   private long lostCommitDelayMicros;
   private double lateCommitShare;
   private long commandDelayMicros;
@@ -128,17 +128,17 @@
   /**
    * Makes the given number of the next transactions get no answer, although they are carried out.
    */
-  public void loseCommitResponses(int count) {
-    commitResponsesToLose = count;
+  public void loseCommitAnswers(int count) {
+    commitAnswersToLose = count;
   }
 
   /** Makes one more of the next transactions get no answer. */
-  public void loseOneMoreCommitResponse() {
-    commitResponsesToLose++;
+  public void loseOneMoreCommitAnswer() {
+    commitAnswersToLose++;
   }
 
   /**
-   * Sets the additional delay after which the transactions of {@link #loseCommitResponses} are
+   * Sets the additional delay after which the transactions of {@link #loseCommitAnswers} are
    * carried out.
    */
   public void delayLostCommits(long micros) {
@@ -226,11 +226,11 @@
   }
 
   /** Returns whether the next transaction loses its answer, and counts it. */
-  boolean takeLostCommitResponse() {
-    if (commitResponsesToLose <= 0) {
+  boolean takeLostCommitAnswer() {
+    if (commitAnswersToLose <= 0) {
       return false;
     }
-    commitResponsesToLose--;
+    commitAnswersToLose--;
     return true;
   }
 
--- a/src/test/java/gladeknot/standin/RandomFaults.java
+++ b/src/test/java/gladeknot/standin/RandomFaults.java
@@ -51,7 +51,7 @@
   public void endAll() {
     endWhere(fault -> true);
     cluster.faults().lateCommitShare(0);
-    cluster.faults().loseCommitResponses(0);
+    cluster.faults().loseCommitAnswers(0);
   }
 
   private void endWhere(Predicate<ActiveFault> isOver) {
@@ -85,7 +85,7 @@
       case 7 -> stateOutage(randomMicros(1_000, 12_000));
       case 8 ->
           partition(random.nextBoolean() ? Set.of() : Set.of(node), randomMicros(2_000, 16_000));
-      case 9 -> loseCommitResponses(randomMicros(500, 3_000));
+      case 9 -> loseCommitAnswers(randomMicros(500, 3_000));
       case 10 -> commitLate(randomMicros(2_000, 8_000));
       case 11 -> freezeMachine(randomMicros(1_000, 14_000));
       case 12 -> duplicateHeartbeats(randomMicros(5_000, 20_000));
@@ -125,10 +125,10 @@
         "zone " + zone + " reaches " + reachable, micros, () -> cluster.faults().healPartitions());
   }
 
-  private void loseCommitResponses(long micros) {
-    cluster.faults().loseCommitResponses(1 + random.nextInt(3));
+  private void loseCommitAnswers(long micros) {
+    cluster.faults().loseCommitAnswers(1 + random.nextInt(3));
     cluster.faults().delayLostCommits(randomMicros(0, 6_000));
-    addActive("lost answers", micros, () -> cluster.faults().loseCommitResponses(0));
+    addActive("lost answers", micros, () -> cluster.faults().loseCommitAnswers(0));
   }
 
   private void commitLate(long micros) {
--- a/src/test/java/gladeknot/standin/SimulatedNetwork.java
+++ b/src/test/java/gladeknot/standin/SimulatedNetwork.java
@@ -84,7 +84,7 @@
     }
     long latencyMicros = MIN_LATENCY_MICROS + random.nextInt(LATENCY_SPREAD_MICROS);
     latencyMicros += isStateCall(call) ? faults.stateDelayMicros() : 0;
-    if (isCommit(call) && losesCommitResponse(node, call, latencyMicros, handler)) {
+    if (isCommit(call) && losesCommitAnswer(node, call, latencyMicros, handler)) {
       return;
     }
     latencyMicros += isCommand(call) ? faults.commandDelayMicros() : 0;
@@ -147,7 +147,7 @@
    * Handles transactions that are carried out, possibly late, but get no answer. Returns whether
    * the transaction is one of them.
    */
-  private boolean losesCommitResponse(
+  private boolean losesCommitAnswer(
       int node, Outbox.Call call, long latencyMicros, ResponseHandler handler) {
     if (faults.lateCommitShare() > 0 && random.nextDouble() < faults.lateCommitShare()) {
       serveUnanswered(
@@ -159,7 +159,7 @@
       serveUnanswered(node, call, held.get(), handler);
       return true;
     }
-    if (faults.takeLostCommitResponse()) {
+    if (faults.takeLostCommitAnswer()) {
       serveUnanswered(node, call, latencyMicros + faults.lostCommitDelayMicros(), handler);
       return true;
     }
