--- a/src/test/java/gladeknot/standin/MachineFaults.java
+++ b/src/test/java/gladeknot/standin/MachineFaults.java
@@ -85,7 +85,7 @@
    * Drops all responses and commands to a machine, and returns an action that ends this for the
    * same machine.
    */
-  public Runnable loseResponsesOfOne(int nth) {
+  public Runnable dropResponsesOfOne(int nth) {
     SimulatedMachine machine = machines.aliveAt(nth);
     machine.dropResponses(true);
     return () -> machine.dropResponses(false);
--- a/src/test/java/gladeknot/standin/RandomFaults.java
+++ b/src/test/java/gladeknot/standin/RandomFaults.java
@@ -163,7 +163,7 @@
   private void dropResponsesOfMachine(long micros) {
     if (cluster.machineCount() > 0) {
       Runnable end =
-          cluster.machineFaults().loseResponsesOfOne(random.nextInt(cluster.machineCount()));
+          cluster.machineFaults().dropResponsesOfOne(random.nextInt(cluster.machineCount()));
       addActive("a machine receives nothing", micros, end);
     }
   }
