--- a/src/test/java/gladeknot/app/HandOverFaultsTest.java
+++ b/src/test/java/gladeknot/app/HandOverFaultsTest.java
@@ -44,7 +44,7 @@
   private static final int CONTROLLERS = 3;
   private static final int HOME = 0;
   private static final long FIRST_SEED = 33;
-  private static final long SEEDS = 5;
+  private static final long SEED_COUNT = 5;
 
   /** Length of a cycle, in steps, in which the temporary owner's watch is current, then stalled. */
   private static final int WATCH_CYCLE_STEPS = 90;
@@ -57,7 +57,7 @@
 
   @TestFactory
   Stream<DynamicTest> startsAnsweredAfterRelinquishAreNotClaimed() {
-    return LongStream.range(FIRST_SEED, FIRST_SEED + SEEDS)
+    return LongStream.range(FIRST_SEED, FIRST_SEED + SEED_COUNT)
         .mapToObj(seed -> DynamicTest.dynamicTest("seed " + seed, () -> runSeed(seed)));
   }
 
--- a/src/test/java/gladeknot/app/QuotaFaultsTest.java
+++ b/src/test/java/gladeknot/app/QuotaFaultsTest.java
@@ -45,7 +45,10 @@
   private static final long TASK_MICROS = 5 * MICROS_PER_SECOND;
   private static final long MEASURED_MICROS = 120 * MICROS_PER_SECOND;
 
-  /** One heartbeat interval to report the end and one to send the next start. */
+  /**
+   * Maximum idle time between an end and the next start: one heartbeat interval to report the end
+   * and one to send the start.
+   */
   private static final long MAX_IDLE_MICROS = 2 * MICROS_PER_SECOND;
 
   private static final ClusterScale TWO_TEAMS =
@@ -79,7 +82,8 @@
   }
 
   /**
-   * The failure without a failover: a delegate renews the leases that the owner counts as expired.
+   * Tests the same failure without a failover: a delegate renews the leases that the owner counts
+   * as expired.
    */
   @Test
   void quotaIsNotReusedWhileDelegateRenewsLeases() {
--- a/src/test/java/gladeknot/connectivity/FailoverOffersTest.java
+++ b/src/test/java/gladeknot/connectivity/FailoverOffersTest.java
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Guards against counting new terms as flapping. An owner whose transactions get no answer draws
-   * new terms; counting them blocked the failover of its shard exactly when it was partitioned.
+   * Guards against counting new terms as flapping. An owner whose transactions get no answer gets
+   * new terms. Counting them blocked the failover of its shard exactly when it was partitioned.
    */
   @Test
   void newTermsOfSameOwnerAreNotSuppressed() {
--- a/src/test/java/gladeknot/connectivity/PartialCutsTest.java
+++ b/src/test/java/gladeknot/connectivity/PartialCutsTest.java
@@ -153,7 +153,9 @@
   }
 
   private static void flap(SimulatedCluster cluster, Direction direction, long periodMicros) {
-    for (long elapsed = 0; elapsed < 120 * MICROS_PER_SECOND; elapsed += periodMicros) {
+    for (long elapsedMicros = 0;
+        elapsedMicros < 120 * MICROS_PER_SECOND;
+        elapsedMicros += periodMicros) {
       cluster.faults().links().setDropped(0, direction, true);
       cluster.run(periodMicros / 2);
       cluster.faults().links().setDropped(0, direction, false);
--- a/src/test/java/gladeknot/golden/GoldenLifeTest.java
+++ b/src/test/java/gladeknot/golden/GoldenLifeTest.java
@@ -114,9 +114,8 @@
   }
 
   /**
-   * Waits for the release of the idle machine, which sends no heartbeats. Its record first says
-   * that it is being released. Once the instance is deleted, a permanent tombstone replaces the
-   * record.
+   * Waits for the release of the idle machine, which sends no heartbeats. Its record is first
+   * marked as being released. Once the instance is deleted, a permanent marker replaces the record.
    */
   private void releaseMachine() {
     cluster.wallClockMicros += LONG_WAIT_MICROS;
--- a/src/test/java/gladeknot/standin/SimulatedMachine.java
+++ b/src/test/java/gladeknot/standin/SimulatedMachine.java
@@ -68,9 +68,9 @@
   }
 
   /** Resumes the machine and executes the commands that arrived meanwhile. */
-  void unfreeze(long now) {
+  void unfreeze(long nowMicros) {
     frozen = false;
-    worker.advance(now);
+    worker.advance(nowMicros);
     heldCommands.forEach(worker::executeCommands);
     heldCommands.clear();
   }
@@ -138,8 +138,8 @@
     return controller;
   }
 
-  boolean isHeartbeatDue(long now) {
-    return now >= nextHeartbeatMicros && !awaitsResponse;
+  boolean isHeartbeatDue(long nowMicros) {
+    return nowMicros >= nextHeartbeatMicros && !awaitsResponse;
   }
 
   void heartbeatSent(long nextMicros) {
@@ -152,14 +152,14 @@
   }
 
   /** Selects the next controller for the next heartbeat, after the retry delay. */
-  void tryNextController(int controllers, long now) {
+  void tryNextController(int controllers, long nowMicros) {
     controller = (controller + 1) % controllers;
-    nextHeartbeatMicros = now + RETRY_DELAY_MICROS;
+    nextHeartbeatMicros = nowMicros + RETRY_DELAY_MICROS;
   }
 
   /** Selects the controller that the last heartbeat's response named for the next heartbeat. */
-  void redirect(int to, long now) {
+  void redirect(int to, long nowMicros) {
     controller = to;
-    nextHeartbeatMicros = now + REDIRECT_DELAY_MICROS;
+    nextHeartbeatMicros = nowMicros + REDIRECT_DELAY_MICROS;
   }
 }
