--- a/src/test/java/gladeknot/standin/HeartbeatSender.java
+++ b/src/test/java/gladeknot/standin/HeartbeatSender.java
@@ -28,10 +28,10 @@
     private final int sentTo;
     private boolean finished;
 
-    Pending(SimulatedMachine machine, long now) {
+    Pending(SimulatedMachine machine, long nowMicros) {
       this.worker = machine.worker();
       this.incarnation = worker.incarnation();
-      this.sentMicros = now;
+      this.sentMicros = nowMicros;
       this.sentTo = machine.controller();
     }
   }
--- a/src/test/java/gladeknot/standin/LoopbackFaults.java
+++ b/src/test/java/gladeknot/standin/LoopbackFaults.java
@@ -71,7 +71,7 @@
   /**
    * Delays the answers to the watches of all controllers but one, in addition to all other faults.
    */
-  void holdBackWatches() {
+  void delayWatches() {
     if (random.nextInt(MEAN_STEPS_PER_WATCH_CHANGE) > 0) {
       return;
     }
@@ -227,7 +227,7 @@
     long delayMillis = random.nextLong(MIN_LAG_MILLIS, MAX_LAG_MILLIS);
     faults.delayWatch(node, delayMillis);
     addActive(
-        "watch of node-" + node + " held back by " + delayMillis + " ms",
+        "watch of node-" + node + " delayed by " + delayMillis + " ms",
         millis,
         () -> faults.delayWatch(node, 0));
   }
@@ -285,6 +285,6 @@
           worker.delayCommandsFor(millis * 1000);
         };
     cluster.services().workers().forEach(disturb);
-    addActive("late copies of heartbeats, late commands", millis, () -> {});
+    addActive("late duplicates of heartbeats, late commands", millis, () -> {});
   }
 }
--- a/src/test/java/gladeknot/standin/LoopbackSoak.java
+++ b/src/test/java/gladeknot/standin/LoopbackSoak.java
@@ -150,7 +150,7 @@
     while (LoopbackServices.now() < deadlineMicros) {
       faults.step();
       if (isSplitting(seed)) {
-        faults.holdBackWatches();
+        faults.delayWatches();
       }
       LoopbackServices.pause(STEP_MILLIS);
     }
@@ -181,7 +181,7 @@
   }
 
   private LoopbackUsers.JobMix jobMix() {
-    return isSplitting(seed) ? LoopbackSoak::smallOrWaitingJob : LoopbackSoak::job;
+    return isSplitting(seed) ? LoopbackSoak::smallOrPendingJob : LoopbackSoak::job;
   }
 
   private static Thread startThread(LoopbackUsers users) {
@@ -209,7 +209,7 @@
   /**
    * Returns a job of many small tasks, which fill segments, or of large tasks, which stay pending.
    */
-  private static Map<String, Object> smallOrWaitingJob(String id, SplittableRandom random) {
+  private static Map<String, Object> smallOrPendingJob(String id, SplittableRandom random) {
     boolean small = random.nextBoolean();
     String shape =
         List.of("service", "array", "service", small ? "ensemble" : "array").get(random.nextInt(4));
--- a/src/test/java/gladeknot/standin/LoopbackWorker.java
+++ b/src/test/java/gladeknot/standin/LoopbackWorker.java
@@ -82,17 +82,17 @@
   }
 
   synchronized void advance() {
-    long now = LoopbackServices.now();
+    long nowMicros = LoopbackServices.now();
     if (stopped) {
       return;
     }
-    if (now < frozenUntilMicros) {
-      if (worker.isLeaseExpired(now)) {
-        worker.advance(now);
+    if (nowMicros < frozenUntilMicros) {
+      if (worker.isLeaseExpired(nowMicros)) {
+        worker.advance(nowMicros);
       }
       return;
     }
-    worker.advance(now);
+    worker.advance(nowMicros);
     heldCommands.forEach(worker::executeCommands);
     heldCommands.clear();
   }
@@ -127,10 +127,10 @@
   }
 
   private boolean receives() {
-    long now = LoopbackServices.now();
-    return now >= frozenUntilMicros
-        && now >= disconnectedUntilMicros
-        && now >= responsesLostUntilMicros;
+    long nowMicros = LoopbackServices.now();
+    return nowMicros >= frozenUntilMicros
+        && nowMicros >= disconnectedUntilMicros
+        && nowMicros >= responsesLostUntilMicros;
   }
 
   /** Powers the machine off with all its tasks. */
@@ -179,9 +179,9 @@
 
   /** Sends a heartbeat if one is due and none is in flight. */
   synchronized void heartbeatIfDue(Executor threads) {
-    long now = LoopbackServices.now();
-    boolean silent = now < frozenUntilMicros || now < disconnectedUntilMicros;
-    if (stopped || inFlight || silent || now < nextHeartbeatMicros) {
+    long nowMicros = LoopbackServices.now();
+    boolean silent = nowMicros < frozenUntilMicros || nowMicros < disconnectedUntilMicros;
+    if (stopped || inFlight || silent || nowMicros < nextHeartbeatMicros) {
       return;
     }
     inFlight = true;
--- a/src/test/java/gladeknot/standin/ObservedJob.java
+++ b/src/test/java/gladeknot/standin/ObservedJob.java
@@ -122,8 +122,8 @@
   }
 
   /** Records that a controller answered a poll of the job. */
-  void pollAnswered(long now) {
-    lastPollAnswerMicros = now;
+  void pollAnswered(long nowMicros) {
+    lastPollAnswerMicros = nowMicros;
   }
 
   /** Returns when a poll was answered last, in microseconds; 0 if none was. */
@@ -132,24 +132,25 @@
   }
 
   /** Records that a controller answered that the job is cancelled; only the first answer counts. */
-  void cancellationConfirmed(long now) {
+  void cancellationConfirmed(long nowMicros) {
     if (cancelledSinceMicros.isEmpty()) {
-      cancelledSinceMicros = OptionalLong.of(now);
+      cancelledSinceMicros = OptionalLong.of(nowMicros);
     }
   }
 
   /** Returns whether the cancellation was confirmed more than {@code micros} ago. */
-  boolean cancelledLongerThan(long micros, long now) {
-    return cancelledSinceMicros.isPresent() && now - cancelledSinceMicros.getAsLong() > micros;
+  boolean cancelledLongerThan(long micros, long nowMicros) {
+    return cancelledSinceMicros.isPresent()
+        && nowMicros - cancelledSinceMicros.getAsLong() > micros;
   }
 
   /**
    * Records that the job could start a task; the time of the first such call is kept until {@link
    * #couldNotStart}.
    */
-  void couldStart(long now) {
+  void couldStart(long nowMicros) {
     if (waitingSinceMicros.isEmpty()) {
-      waitingSinceMicros = OptionalLong.of(now);
+      waitingSinceMicros = OptionalLong.of(nowMicros);
     }
   }
 
@@ -158,7 +159,7 @@
   }
 
   /** Returns whether the job could have started a task for more than {@code micros}. */
-  boolean waitedLongerThan(long micros, long now) {
-    return waitingSinceMicros.isPresent() && now - waitingSinceMicros.getAsLong() > micros;
+  boolean waitedLongerThan(long micros, long nowMicros) {
+    return waitingSinceMicros.isPresent() && nowMicros - waitingSinceMicros.getAsLong() > micros;
   }
 }
--- a/src/test/java/gladeknot/standin/RandomFaults.java
+++ b/src/test/java/gladeknot/standin/RandomFaults.java
@@ -138,7 +138,7 @@
 
   private void duplicateHeartbeats(long micros) {
     cluster.faults().duplicateHeartbeats(true);
-    addActive("copies", micros, () -> cluster.faults().duplicateHeartbeats(false));
+    addActive("duplicate heartbeats", micros, () -> cluster.faults().duplicateHeartbeats(false));
   }
 
   private void killAndRestart(int node, long micros) {
--- a/src/test/java/gladeknot/standin/SimulatedNetwork.java
+++ b/src/test/java/gladeknot/standin/SimulatedNetwork.java
@@ -182,12 +182,12 @@
 
   private void watch(int node, Outbox.Call call, ResponseHandler handler, long emptyAnswerMicros) {
     long from = Long.parseLong(FakeStateStore.query(call.path()).get("from"));
-    long now = clock.now();
-    if (faults.servesWatch(node) && (state.changedSince(from) || now >= emptyAnswerMicros)) {
+    long nowMicros = clock.now();
+    if (faults.servesWatch(node) && (state.changedSince(from) || nowMicros >= emptyAnswerMicros)) {
       Optional<ServiceResponse> response = serve(node, call);
       clock.schedule(
           WATCH_LATENCY_MICROS + faults.stateDelayMicros(), () -> handler.onResponse(response));
-    } else if (now >= emptyAnswerMicros + WATCH_MARGIN_MICROS) {
+    } else if (nowMicros >= emptyAnswerMicros + WATCH_MARGIN_MICROS) {
       handler.onResponse(Optional.empty());
     } else {
       clock.schedule(STEP_MICROS, () -> watch(node, call, handler, emptyAnswerMicros));
