--- a/src/test/java/gladeknot/standin/HeartbeatSender.java
+++ b/src/test/java/gladeknot/standin/HeartbeatSender.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import static gladeknot.standin.SimulatedClock.SECOND;
+import static gladeknot.standin.SimulatedClock.MICROS_PER_SECOND;
 
 import gladeknot.json.Json;
 import gladeknot.outbox.Outbox;
@@ -14,11 +14,11 @@
 
 /** Sends the machines' heartbeats to controllers and hands the responses to the workers. */
 final class HeartbeatSender {
-  private static final long TIMEOUT_MICROS = 4 * SECOND;
+  private static final long TIMEOUT_MICROS = 4 * MICROS_PER_SECOND;
   private static final long LATENCY_MICROS = 1_000;
   private static final int HEARTBEATS_PER_DUPLICATE = 4;
-  private static final long MIN_DUPLICATE_DELAY_MICROS = SECOND;
-  private static final long DUPLICATE_DELAY_SPREAD_MICROS = 3 * ClusterSettings.LEASE;
+  private static final long MIN_DUPLICATE_DELAY_MICROS = MICROS_PER_SECOND;
+  private static final long DUPLICATE_DELAY_SPREAD_MICROS = 3 * ClusterSettings.LEASE_MICROS;
 
   /** A heartbeat that is in flight: neither answered nor timed out nor known to be lost. */
   private static final class Pending {
@@ -28,10 +28,10 @@
     private final int sentTo;
     private boolean finished;
 
-    Pending(SimulatedMachine machine, long now) {
+    Pending(SimulatedMachine machine, long nowMicros) {
       this.worker = machine.worker();
       this.incarnation = worker.incarnation();
-      this.sentMicros = now;
+      this.sentMicros = nowMicros;
       this.sentTo = machine.controller();
     }
   }
@@ -67,7 +67,7 @@
   /** Sends a machine's heartbeat, and a late duplicate if that fault is on. */
   void send(SimulatedMachine machine) {
     Pending pending = new Pending(machine, clock.now());
-    Map<String, Object> heartbeat = pending.worker.report();
+    Map<String, Object> heartbeat = pending.worker.heartbeat();
     machine.heartbeatSent(clock.now() + ClusterSettings.HEARTBEAT_INTERVAL_MICROS);
     clock.schedule(
         TIMEOUT_MICROS,
@@ -117,7 +117,7 @@
             clock.schedule(faults.commandDelayMicros(), () -> receive(machine, pending, response)));
   }
 
-  /** Handles a response; drops it if the worker has given the heartbeat up or can't receive. */
+  /** Handles a response; drops it if the heartbeat is not in flight or the worker can't receive. */
   private void receive(SimulatedMachine machine, Pending pending, Outbox.Answer response) {
     if (pending.finished
         || machine.dropsResponses()
--- a/src/test/java/gladeknot/standin/RandomFaults.java
+++ b/src/test/java/gladeknot/standin/RandomFaults.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import static gladeknot.standin.SimulatedClock.SECOND;
+import static gladeknot.standin.SimulatedClock.MICROS_PER_SECOND;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -51,7 +51,7 @@
   public void endAll() {
     endWhere(fault -> true);
     cluster.faults().lateCommitShare(0);
-    cluster.faults().loseCommitResponses(0);
+    cluster.faults().loseCommitAnswers(0);
   }
 
   private void endWhere(Predicate<ActiveFault> isOver) {
@@ -64,7 +64,8 @@
   }
 
   private void addActive(String name, long micros, Runnable end) {
-    schedule.add(cluster.now() / SECOND + " s: " + name + " for " + micros / 1000 + " ms");
+    schedule.add(
+        cluster.now() / MICROS_PER_SECOND + " s: " + name + " for " + micros / 1000 + " ms");
     active.add(new ActiveFault(cluster.now() + micros, end));
   }
 
@@ -84,7 +85,7 @@
       case 7 -> stateOutage(randomMicros(1_000, 12_000));
       case 8 ->
           partition(random.nextBoolean() ? Set.of() : Set.of(node), randomMicros(2_000, 16_000));
-      case 9 -> loseCommitResponses(randomMicros(500, 3_000));
+      case 9 -> loseCommitAnswers(randomMicros(500, 3_000));
       case 10 -> commitLate(randomMicros(2_000, 8_000));
       case 11 -> freezeMachine(randomMicros(1_000, 14_000));
       case 12 -> duplicateHeartbeats(randomMicros(5_000, 20_000));
@@ -124,10 +125,10 @@
         "zone " + zone + " reaches " + reachable, micros, () -> cluster.faults().healPartitions());
   }
 
-  private void loseCommitResponses(long micros) {
-    cluster.faults().loseCommitResponses(1 + random.nextInt(3));
+  private void loseCommitAnswers(long micros) {
+    cluster.faults().loseCommitAnswers(1 + random.nextInt(3));
     cluster.faults().delayLostCommits(randomMicros(0, 6_000));
-    addActive("lost answers", micros, () -> cluster.faults().loseCommitResponses(0));
+    addActive("lost answers", micros, () -> cluster.faults().loseCommitAnswers(0));
   }
 
   private void commitLate(long micros) {
@@ -137,7 +138,7 @@
 
   private void duplicateHeartbeats(long micros) {
     cluster.faults().duplicateHeartbeats(true);
-    addActive("copies", micros, () -> cluster.faults().duplicateHeartbeats(false));
+    addActive("duplicate heartbeats", micros, () -> cluster.faults().duplicateHeartbeats(false));
   }
 
   private void killAndRestart(int node, long micros) {
@@ -162,7 +163,7 @@
   private void dropResponsesOfMachine(long micros) {
     if (cluster.machineCount() > 0) {
       Runnable end =
-          cluster.machineFaults().loseResponsesOfOne(random.nextInt(cluster.machineCount()));
+          cluster.machineFaults().dropResponsesOfOne(random.nextInt(cluster.machineCount()));
       addActive("a machine receives nothing", micros, end);
     }
   }
--- a/src/test/java/gladeknot/standin/SimulatedNetwork.java
+++ b/src/test/java/gladeknot/standin/SimulatedNetwork.java
@@ -1,6 +1,6 @@
 package gladeknot.standin;
 
-import static gladeknot.standin.SimulatedClock.SECOND;
+import static gladeknot.standin.SimulatedClock.MICROS_PER_SECOND;
 import static gladeknot.standin.SimulatedClock.STEP_MICROS;
 
 import gladeknot.json.Json;
@@ -28,10 +28,10 @@
   /**
    * Time before its caller's timeout at which a watch without changes is answered, in microseconds.
    */
-  private static final long WATCH_MARGIN_MICROS = 4 * SECOND;
+  private static final long WATCH_MARGIN_MICROS = 4 * MICROS_PER_SECOND;
 
-  private static final long MIN_LATE_COMMIT_MICROS = 2 * SECOND;
-  private static final long LATE_COMMIT_SPREAD_MICROS = 10 * SECOND;
+  private static final long MIN_LATE_COMMIT_MICROS = 2 * MICROS_PER_SECOND;
+  private static final long LATE_COMMIT_SPREAD_MICROS = 10 * MICROS_PER_SECOND;
 
   private final SimulatedClock clock;
   private final SplittableRandom random;
@@ -84,7 +84,7 @@
     }
     long latencyMicros = MIN_LATENCY_MICROS + random.nextInt(LATENCY_SPREAD_MICROS);
     latencyMicros += isStateCall(call) ? faults.stateDelayMicros() : 0;
-    if (isCommit(call) && losesCommitResponse(node, call, latencyMicros, handler)) {
+    if (isCommit(call) && losesCommitAnswer(node, call, latencyMicros, handler)) {
       return;
     }
     latencyMicros += isCommand(call) ? faults.commandDelayMicros() : 0;
@@ -147,7 +147,7 @@
    * Handles transactions that are carried out, possibly late, but get no answer. Returns whether
    * the transaction is one of them.
    */
-  private boolean losesCommitResponse(
+  private boolean losesCommitAnswer(
       int node, Outbox.Call call, long latencyMicros, ResponseHandler handler) {
     if (faults.lateCommitShare() > 0 && random.nextDouble() < faults.lateCommitShare()) {
       serveUnanswered(
@@ -159,7 +159,7 @@
       serveUnanswered(node, call, held.get(), handler);
       return true;
     }
-    if (faults.takeLostCommitResponse()) {
+    if (faults.takeLostCommitAnswer()) {
       serveUnanswered(node, call, latencyMicros + faults.lostCommitDelayMicros(), handler);
       return true;
     }
@@ -182,12 +182,12 @@
 
   private void watch(int node, Outbox.Call call, ResponseHandler handler, long emptyAnswerMicros) {
     long from = Long.parseLong(FakeStateStore.query(call.path()).get("from"));
-    long now = clock.now();
-    if (faults.servesWatch(node) && (state.changedSince(from) || now >= emptyAnswerMicros)) {
+    long nowMicros = clock.now();
+    if (faults.servesWatch(node) && (state.changedSince(from) || nowMicros >= emptyAnswerMicros)) {
       Optional<ServiceResponse> response = serve(node, call);
       clock.schedule(
           WATCH_LATENCY_MICROS + faults.stateDelayMicros(), () -> handler.onResponse(response));
-    } else if (now >= emptyAnswerMicros + WATCH_MARGIN_MICROS) {
+    } else if (nowMicros >= emptyAnswerMicros + WATCH_MARGIN_MICROS) {
       handler.onResponse(Optional.empty());
     } else {
       clock.schedule(STEP_MICROS, () -> watch(node, call, handler, emptyAnswerMicros));
