--- a/src/main/java/gladeknot/app/CachedShardView.java
+++ b/src/main/java/gladeknot/app/CachedShardView.java
@@ -7,7 +7,7 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** Shows the connectivity monitor the shards and workers of higher packages. */
+/** Gives the connectivity monitor a view of shards and workers, which belong to higher packages. */
 final class CachedShardView implements ShardView {
   private final Settings settings;
   private final Membership membership;
--- a/src/main/java/gladeknot/app/CommandSpecs.java
+++ b/src/main/java/gladeknot/app/CommandSpecs.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Model.OptionSpec;
 import picocli.CommandLine.Model.PositionalParamSpec;
 
-/** The commands and options of the command line, built without reflection for the start-up time. */
+/** Builds the commands and options of the command line, without reflection to start up faster. */
 final class CommandSpecs {
   static final String CONFIG = "--config";
   static final String POLICY = "--policy";
@@ -18,7 +18,7 @@
 
   private CommandSpecs() {}
 
-  /** The whole command line. */
+  /** Builds the root command with its options and subcommands. */
   static CommandSpec root(String version) {
     CommandSpec root = CommandSpec.create().name("gladeknot");
     root.usageMessage().description("A cluster scheduler: one of its controllers.");
@@ -26,15 +26,15 @@
     root.addOption(fileOption(CONFIG, "Serve with the platform's settings file (TOML)."));
     root.addOption(fileOption(POLICY, "Operators' rules, laid over the shipped ones."));
     root.addOption(featureOption());
-    root.addOption(help());
+    root.addOption(helpOption());
     root.addOption(
         OptionSpec.builder("-V", "--version")
             .versionHelp(true)
             .description("Print version.")
             .build());
-    root.addSubcommand(CHECK_CONFIG, checkConfig());
+    root.addSubcommand(CHECK_CONFIG, checkConfigCommand());
     root.addSubcommand(CHECK_POLICY, fileCommand("Check a policy file; exit 2 if it has faults."));
-    root.addSubcommand(STATUS, status());
+    root.addSubcommand(STATUS, statusCommand());
     return root;
   }
 
@@ -56,7 +56,7 @@
         .build();
   }
 
-  private static OptionSpec help() {
+  private static OptionSpec helpOption() {
     return OptionSpec.builder("-h", "--help")
         .usageHelp(true)
         .description("Print this help.")
@@ -74,17 +74,17 @@
             .arity("1")
             .required(true)
             .build());
-    spec.addOption(help());
+    spec.addOption(helpOption());
     return spec;
   }
 
-  private static CommandSpec checkConfig() {
+  private static CommandSpec checkConfigCommand() {
     CommandSpec spec = fileCommand("Check a settings file; exit 2 if it has faults.");
     spec.addOption(featureOption());
     return spec;
   }
 
-  private static CommandSpec status() {
+  private static CommandSpec statusCommand() {
     CommandSpec spec = CommandSpec.create();
     spec.usageMessage()
         .description(
@@ -99,7 +99,7 @@
                 "Its operators' listener; " + StatusCommand.DEFAULT_ADDRESS + " if absent.")
             .build());
     spec.addOption(OptionSpec.builder(JSON).description("Print JSON.").build());
-    spec.addOption(help());
+    spec.addOption(helpOption());
     return spec;
   }
 }
--- a/src/main/java/gladeknot/app/Controller.java
+++ b/src/main/java/gladeknot/app/Controller.java
@@ -13,25 +13,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The whole controller as a state machine: time, requests and replies go in, calls and answers come
- * out of its {@link Outbox}. Not thread-safe; one event loop calls it.
+ * The controller as a deterministic state machine: its inputs are the time, requests, replies and
+ * messages of other controllers; its outputs are the calls, answers and messages in its {@link
+ * Outbox}. Not thread-safe; all calls come from one event loop.
  */
 public final class Controller {
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
   private static final int RETRY_AFTER_SECONDS = 1;
-  private static final long MICROS_A_MILLI = 1000;
+  private static final long MICROS_PER_MILLI = 1000;
 
   private final ControllerComponents components;
   private final RequestRouter router;
   private final TaskTracer tracer;
 
-  /** A controller that traces nothing. */
+  /** Creates a controller without tracing. */
   public Controller(Settings settings, Features features, Policy policy, RandomGenerator random) {
     this(settings, features, policy, random, TaskTracer.NONE);
   }
 
-  /** A controller; nothing happens before the first {@link #tick}. */
+  /** Creates a controller that stays inactive until the first {@link #tick}. */
   public Controller(
       Settings settings,
       Features features,
@@ -46,37 +47,39 @@
             components.outbox, this::answerHealth, components.jobRequests, components.heartbeats);
   }
 
-  /** The calls and answers that are to be carried out, and the way back for replies. */
+  /** Returns the outbox, which holds the calls and answers to send and accepts replies to calls. */
   public Outbox outbox() {
     return components.outbox;
   }
 
-  /** How often a team's quota was found exceeded, in a shard or by its record. */
+  /** Returns how often a team's quota was found exceeded, in a shard or by the quota record. */
   public long quotaViolations() {
     return components.quota.violations();
   }
 
-  /** How often a job was found whose tasks belong to two slices, or a slice to two records. */
+  /**
+   * Returns how often a job was found with a task in two slices, or with a slice in two records.
+   */
   public long sliceViolations() {
     return components.lifecycle.sliceViolations();
   }
 
   /**
-   * What operators are shown of links, authority, quota, the copy of the state and slices; empty
-   * without the feature.
+   * Returns the status for operators: links, authority, quota, lag of the watch cache, and slices.
+   * Empty if the feature {@code partial-cuts} is off.
    */
   public Map<String, Object> status() {
     Map<String, Object> status =
         components.connectivity.map(ConnectivityMonitor::status).orElse(Map.of());
     if (!status.isEmpty()) {
       status.put("quota", components.quota.status());
-      status.put("copy", copyStatus());
+      status.put("copy", cacheStatus());
       status.put("slices", Json.of("violations", sliceViolations()));
     }
     return status;
   }
 
-  private Map<String, Object> copyStatus() {
+  private Map<String, Object> cacheStatus() {
     CopyLag lag = components.stateStore.lag();
     return Json.of(
         "revision",
@@ -86,17 +89,17 @@
         "revisionsBehind",
         lag.revisionsBehind(),
         "longestLagMs",
-        lag.longestMicros() / MICROS_A_MILLI);
+        lag.longestMicros() / MICROS_PER_MILLI);
   }
 
   /**
-   * Advances the time and does what is due.
+   * Advances the time and runs all work that is due.
    *
-   * @param nowMicros the steady clock, in microseconds
-   * @param wallMicros the time of day, in microseconds since 1970
+   * @param nowMicros time of the monotonic clock, in microseconds
+   * @param wallMicros time of day, in microseconds since 1970
    */
   public void tick(long nowMicros, long wallMicros) {
-    // First of all what the others are entitled to is judged by this time, also after a stall.
+    // Set first, so that every component checks leases against this time, also after a stall.
     components.membership.setTime(nowMicros);
     tracer.setTime(wallMicros);
     components.connectivity.ifPresent(monitor -> monitor.tick(nowMicros, wallMicros));
@@ -112,14 +115,14 @@
     components.committer.tick(nowMicros);
   }
 
-  /** Takes in a message of another controller. */
+  /** Handles a message from another controller. */
   public void onPeerMessage(PeerMessage message) {
     components.quota.onPeerMessage(message);
     components.lifecycle.onCancelledElsewhere(message.cancelledJobs());
     components.connectivity.ifPresent(monitor -> monitor.onPeerMessage(message));
   }
 
-  /** Takes a request; its answer comes out of the outbox under the same number. */
+  /** Handles a request; the outbox later holds its answer under the same request number. */
   public void onRequest(long request, String method, String uri, byte[] body) {
     router.route(request, method, uri, body);
   }
--- a/src/main/java/gladeknot/app/ControllerComponents.java
+++ b/src/main/java/gladeknot/app/ControllerComponents.java
@@ -28,17 +28,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Constructs the parts of a controller and connects them, from the lowest package to the highest.
+ * Constructs the components of a controller and connects them, from the lowest package to the
+ * highest.
  *
- * <p>Where a lower part notifies a higher one that does not exist yet, it gets an adapter that
- * looks the higher one up here when it is called, which is never before the first tick.
+ * <p>A lower component that notifies a higher one is constructed before it, and therefore gets an
+ * adapter. The adapter looks the higher component up here on each call; no call comes before the
+ * first tick.
  */
 final class ControllerComponents {
   final Outbox outbox = new Outbox();
   final WorkerRegistry workers = new WorkerRegistry();
   final InstanceCatalog catalog = new InstanceCatalog();
 
-  /** Present with the feature {@code partial-cuts}. */
+  /** Present if the feature {@code partial-cuts} is on. */
   final Optional<ConnectivityMonitor> connectivity;
 
   final StateStore stateStore;
@@ -60,7 +62,8 @@
       Policy policy,
       RandomGenerator random,
       TaskTracer tracer) {
-    connectivity = features.partialCuts().map(f -> new ConnectivityMonitor(settings, f, outbox));
+    connectivity =
+        features.partialCuts().map(feature -> new ConnectivityMonitor(settings, feature, outbox));
     stateStore = new StateStore(settings, outbox, random, new StateChangeDispatcher(this));
     membership = newMembership(settings, policy);
     jobs = new JobRegistry(this::onJobChange);
@@ -84,8 +87,10 @@
             settings,
             policy,
             stateStore,
-            connectivity.<Authority.StateLink>map(c -> c).orElse(Authority.StateLink.TRUSTED),
-            connectivity.<FailoverAdvisor>map(c -> c).orElse(FailoverAdvisor.NONE),
+            connectivity
+                .<Authority.StateLink>map(monitor -> monitor)
+                .orElse(Authority.StateLink.TRUSTED),
+            connectivity.<FailoverAdvisor>map(monitor -> monitor).orElse(FailoverAdvisor.NONE),
             new ShardOwnershipListener(this));
     connectivity.ifPresent(
         monitor ->
@@ -144,7 +149,7 @@
         membership,
         workers,
         outbox,
-        connectivity.<HeartbeatObserver>map(c -> c).orElse(HeartbeatObserver.NONE),
+        connectivity.<HeartbeatObserver>map(monitor -> monitor).orElse(HeartbeatObserver.NONE),
         new ReconcilerAdapter(this));
   }
 
--- a/src/main/java/gladeknot/app/ControllerProcess.java
+++ b/src/main/java/gladeknot/app/ControllerProcess.java
@@ -19,14 +19,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs the controller on one event loop: carries its calls and answers out, lets its time pass. The
- * only place where a RuntimeException is caught: a fault in one event must not stop the others.
+ * Runs the controller on one event loop: sends its calls and answers, and calls its tick regularly.
+ * The only class that catches RuntimeException, because a fault in one event must not stop the
+ * handling of later events.
  */
 public final class ControllerProcess {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerProcess.class);
-  private static final long TICK_MILLIS = 50;
+  private static final long TICK_INTERVAL_MILLIS = 50;
 
-  /** Sockets kept for calls to other services. */
+  /** Sockets reserved for calls to other services. */
   private static final int RESERVED_SOCKETS = 100;
 
   private static final int MIN_CONNECTIONS = 50;
@@ -39,10 +40,10 @@
   private final EventLoopGroup group;
   private final HttpServer server;
   private final HttpCaller caller;
-  private final PeerLinks peers;
+  private final PeerLinks peerLinks;
   private boolean draining;
 
-  /** Prepares a controller; it begins to serve when it is started. */
+  /** Creates a controller that serves once {@link #start} is called. */
   public ControllerProcess(Settings settings, Features features, Policy policy, TaskTracer tracer) {
     this.settings = settings;
     this.features = features;
@@ -50,17 +51,18 @@
     this.controller =
         new Controller(settings, features, policy, new SplittableRandom(seed), tracer);
     this.group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    int connections = Math.max(MIN_CONNECTIONS, settings.maxConnections() - RESERVED_SOCKETS);
-    this.server = new HttpServer(this::onRequest, connections);
+    int maxServerConnections =
+        Math.max(MIN_CONNECTIONS, settings.maxConnections() - RESERVED_SOCKETS);
+    this.server = new HttpServer(this::onRequest, maxServerConnections);
     this.caller = new HttpCaller(group, this::onReply);
-    this.peers = new PeerLinks(settings, group, controller::onPeerMessage);
+    this.peerLinks = new PeerLinks(settings, group, controller::onPeerMessage);
   }
 
-  /** Starts; the event loop's thread keeps the process running. */
+  /** Starts listeners and ticks; the event loop's thread keeps the process running. */
   public void start() {
     ListenAddress address = ListenAddress.parse(settings.clientListen());
     server.listen(group, address.host(), address.port());
-    peers.listen();
+    peerLinks.listen();
     LOG.info("controller listening node={} address={}", settings.node(), settings.clientListen());
     features
         .partialCuts()
@@ -76,7 +78,7 @@
     } catch (RuntimeException e) {
       LOG.error("event failed event=tick", e);
     }
-    group.next().schedule(this::onTick, TICK_MILLIS, TimeUnit.MILLISECONDS);
+    group.next().schedule(this::onTick, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private void tick() {
@@ -104,7 +106,10 @@
     drain();
   }
 
-  /** Carries out what the controller wants done; a reply that comes at once may add to it. */
+  /**
+   * Sends everything in the controller's outbox. A reply that arrives during the loop may add to
+   * the outbox; the nested drain then returns at once, and the loop sends the addition.
+   */
   private void drain() {
     if (draining) {
       return;
@@ -117,7 +122,7 @@
         List<Outbox.Call> calls = controller.outbox().drainCalls();
         answers.forEach(server::answer);
         calls.forEach(caller::call);
-        controller.outbox().drainPeerMessages().forEach(peers::send);
+        controller.outbox().drainPeerMessages().forEach(peerLinks::send);
         more = !answers.isEmpty() || !calls.isEmpty();
       }
     } finally {
--- a/src/main/java/gladeknot/app/FleetSchedulerView.java
+++ b/src/main/java/gladeknot/app/FleetSchedulerView.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Shows the scheduler to the fleet, so that neither package depends on the other. */
+/** Gives the fleet a view of the scheduler, so that neither package depends on the other. */
 final class FleetSchedulerView implements SchedulerView {
   private final Scheduler scheduler;
 
@@ -21,9 +21,9 @@
 
   @Override
   public List<PendingTasks> pendingTasks() {
-    List<PendingTasks> queue = new ArrayList<>();
+    List<PendingTasks> pendingTasks = new ArrayList<>();
     for (PendingDemand demand : scheduler.pendingDemand()) {
-      queue.add(
+      pendingTasks.add(
           new PendingTasks(
               demand.job(),
               demand.shard(),
@@ -32,7 +32,7 @@
               demand.starving(),
               demand.tasksByZone()));
     }
-    return queue;
+    return pendingTasks;
   }
 
   @Override
--- a/src/main/java/gladeknot/app/JobClusterView.java
+++ b/src/main/java/gladeknot/app/JobClusterView.java
@@ -8,7 +8,7 @@
 import gladeknot.peer.PeerMessage;
 import java.util.List;
 
-/** Shows the handler of job requests what it needs of the fleet, the shards and the tasks. */
+/** Gives the job request handler its view of machine types, shards and tasks. */
 final class JobClusterView implements JobRequestHandler.ClusterView {
   private final ControllerComponents components;
   private final String node;
--- a/src/main/java/gladeknot/app/Main.java
+++ b/src/main/java/gladeknot/app/Main.java
@@ -16,33 +16,36 @@
 import picocli.CommandLine;
 import picocli.CommandLine.ParseResult;
 
-/** The command line: serves, checks files, or shows the status of a running controller. */
+/** Entry point: serves, checks files, or shows the status of a running controller. */
 public final class Main {
   static final String VERSION = "gladeknot 0.1.0";
-  private static final int BAD_SETTINGS = 2;
+  private static final int EXIT_INVALID_INPUT = 2;
 
   private Main() {}
 
-  /** Runs the command line and exits with its code. */
+  /** Runs a command and exits with its exit code if that is not 0. */
   public static void main(String[] args) {
-    setUpLogging(System.getenv("LOG_LEVEL"));
+    configureLogging(System.getenv("LOG_LEVEL"));
     int code = run(args);
     if (code != 0) {
       System.exit(code);
     }
   }
 
-  /** Before any logger is made: they read their level once. */
-  private static void setUpLogging(String level) {
-    String wanted = level == null ? "info" : level.toLowerCase(Locale.ROOT);
-    String known = wanted.equals("error") || wanted.equals("debug") ? wanted : "info";
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", known);
+  /** Must run before the first logger is created: a logger reads its level only once. */
+  private static void configureLogging(String level) {
+    String requested = level == null ? "info" : level.toLowerCase(Locale.ROOT);
+    String supported = requested.equals("error") || requested.equals("debug") ? requested : "info";
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", supported);
     System.setProperty("org.slf4j.simpleLogger.log.io.netty", "error");
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
     System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
   }
 
-  /** Runs a command; 0 also when the service was started and goes on. */
+  /**
+   * Runs a command and returns its exit code; 0 also if the controller was started and keeps
+   * running.
+   */
   static int run(String... args) {
     CommandLine cli = new CommandLine(CommandSpecs.root(VERSION));
     ParseResult parsed;
@@ -50,7 +53,7 @@
       parsed = cli.parseArgs(args);
     } catch (CommandLine.ParameterException e) {
       System.err.println(e.getMessage());
-      return BAD_SETTINGS;
+      return EXIT_INVALID_INPUT;
     }
     List<CommandLine> commands = parsed.asCommandLineList();
     CommandLine chosen = commands.get(commands.size() - 1);
@@ -71,7 +74,7 @@
     }
     if (!parsed.hasMatchedOption(CommandSpecs.CONFIG)) {
       cli.usage(System.err);
-      return BAD_SETTINGS;
+      return EXIT_INVALID_INPUT;
     }
     return serve(
         parsed.matchedOptionValue(CommandSpecs.CONFIG, null),
@@ -96,7 +99,7 @@
     return parsed.matchedOptionValue(CommandSpecs.FEATURE, List.<Path>of());
   }
 
-  private static Settings load(Path file) {
+  private static Settings loadSettings(Path file) {
     SettingsReader.Result result = SettingsReader.read(file);
     result.faults().forEach(fault -> System.err.println(file + ": " + fault));
     return result.settings();
@@ -109,45 +112,45 @@
   }
 
   private static int checkConfig(Path file, List<Path> featureFiles) {
-    Settings settings = load(file);
+    Settings settings = loadSettings(file);
     Features features = loadFeatures(featureFiles);
-    return settings == null || features == null ? BAD_SETTINGS : 0;
+    return settings == null || features == null ? EXIT_INVALID_INPUT : 0;
   }
 
   private static int checkPolicy(Path file) {
     List<String> faults = Policy.check(file);
     faults.forEach(fault -> System.err.println(file + ":" + fault));
-    return faults.isEmpty() ? 0 : BAD_SETTINGS;
+    return faults.isEmpty() ? 0 : EXIT_INVALID_INPUT;
   }
 
   private static int serve(Path file, Path policyFile, List<Path> featureFiles) {
-    Settings settings = load(file);
+    Settings settings = loadSettings(file);
     Features features = loadFeatures(featureFiles);
     if (settings == null || features == null) {
-      return BAD_SETTINGS;
+      return EXIT_INVALID_INPUT;
     }
     if (policyFile != null && checkPolicy(policyFile) != 0) {
-      return BAD_SETTINGS;
+      return EXIT_INVALID_INPUT;
     }
     TaskTracer tracer;
     try {
-      tracer = tracer(features);
+      tracer = openTracer(features);
     } catch (IOException e) {
       System.err.println("tracing.file: can't be written: " + e.getMessage());
-      return BAD_SETTINGS;
+      return EXIT_INVALID_INPUT;
     }
     Policy policy;
     try {
       policy = Policy.load(policyFile);
     } catch (IOException e) {
       System.err.println(policyFile + ": can't be read: " + e.getMessage());
-      return BAD_SETTINGS;
+      return EXIT_INVALID_INPUT;
     }
     new ControllerProcess(settings, features, policy, tracer).start();
     return 0;
   }
 
-  private static TaskTracer tracer(Features features) throws IOException {
+  private static TaskTracer openTracer(Features features) throws IOException {
     Optional<PartialCuts.Tracing> tracing = features.partialCuts().flatMap(PartialCuts::tracing);
     return tracing.isPresent() ? FileTracing.open(tracing.get()) : TaskTracer.NONE;
   }
--- a/src/main/java/gladeknot/app/ReconcilerAdapter.java
+++ b/src/main/java/gladeknot/app/ReconcilerAdapter.java
@@ -19,7 +19,10 @@
     return components.lifecycle.reconcile(worker, heartbeat);
   }
 
-  /** A round that is pending, or would be by now, comes after those completed. */
+  /**
+   * Runs a scheduling round if one is due, and returns the number of the round that the caller has
+   * to wait for: the next round if scheduling is still needed, otherwise the last completed one.
+   */
   @Override
   public long requestScheduling() {
     components.scheduler.runIfNeeded();
--- a/src/main/java/gladeknot/app/RequestRouter.java
+++ b/src/main/java/gladeknot/app/RequestRouter.java
@@ -6,7 +6,7 @@
 import gladeknot.outbox.Outbox;
 import gladeknot.workers.HeartbeatHandler;
 
-/** Routes requests of users, workers and the platform by path and method. */
+/** Routes requests from users, workers and the platform by path and method. */
 final class RequestRouter {
   private static final String GET = "GET";
   private static final String POST = "POST";
@@ -14,7 +14,10 @@
   private static final String JOBS_PATH = "/work";
   private static final String HEARTBEAT_PATH = "/hello";
 
-  /** Segments of /work/ID and /work/ID/abort, counting the empty one before the first slash. */
+  /**
+   * First segment of /work/ID and /work/ID/abort. Indexes and counts of segments include the empty
+   * segment before the first slash.
+   */
   private static final String JOBS_SEGMENT = "work";
 
   private static final String CANCEL_SEGMENT = "abort";
@@ -43,23 +46,23 @@
     this.heartbeats = heartbeats;
   }
 
-  /** Hands a request to its handler, or answers 404 or 405; a query is ignored. */
+  /** Passes a request to its handler, or answers 404 or 405. The query string is ignored. */
   void route(long request, String method, String uri, byte[] body) {
     int query = uri.indexOf('?');
     String path = query < 0 ? uri : uri.substring(0, query);
     switch (path) {
       case HEALTH_PATH -> {
-        if (allowed(request, method, GET)) {
+        if (requireMethod(request, method, GET)) {
           health.answer(request);
         }
       }
       case JOBS_PATH -> {
-        if (allowed(request, method, POST)) {
+        if (requireMethod(request, method, POST)) {
           jobs.submit(request, body);
         }
       }
       case HEARTBEAT_PATH -> {
-        if (allowed(request, method, POST)) {
+        if (requireMethod(request, method, POST)) {
           heartbeats.handle(request, body);
         }
       }
@@ -73,13 +76,13 @@
             && segments[1].equals(JOBS_SEGMENT)
             && !segments[ID_INDEX].isEmpty();
     if (namesJob && segments.length == JOB_SEGMENTS) {
-      if (allowed(request, method, GET) && validId(request, segments[ID_INDEX])) {
+      if (requireMethod(request, method, GET) && requireValidId(request, segments[ID_INDEX])) {
         jobs.poll(request, segments[ID_INDEX]);
       }
     } else if (namesJob
         && segments.length == CANCEL_SEGMENTS
         && segments[CANCEL_SEGMENTS - 1].equals(CANCEL_SEGMENT)) {
-      if (allowed(request, method, POST) && validId(request, segments[ID_INDEX])) {
+      if (requireMethod(request, method, POST) && requireValidId(request, segments[ID_INDEX])) {
         jobs.cancel(request, segments[ID_INDEX]);
       }
     } else {
@@ -87,16 +90,18 @@
     }
   }
 
-  private boolean allowed(long request, String method, String wanted) {
-    if (method.equals(wanted)) {
+  private boolean requireMethod(long request, String method, String expected) {
+    if (method.equals(expected)) {
       return true;
     }
-    refuse(request, METHOD_NOT_ALLOWED, "use " + wanted);
+    refuse(request, METHOD_NOT_ALLOWED, "use " + expected);
     return false;
   }
 
-  /** No job can have an identifier that is malformed. */
-  private boolean validId(long request, String id) {
+  /**
+   * Returns whether the id is well-formed; if not, answers 404, since no job can have such an id.
+   */
+  private boolean requireValidId(long request, String id) {
     if (JobSpec.isId(id)) {
       return true;
     }
--- a/src/main/java/gladeknot/app/ShardOwnershipListener.java
+++ b/src/main/java/gladeknot/app/ShardOwnershipListener.java
@@ -2,7 +2,7 @@
 
 import gladeknot.membership.ShardListener;
 
-/** Tells the other parts when this controller starts and stops owning a shard. */
+/** Notifies the other components when this controller acquires or releases a shard. */
 final class ShardOwnershipListener implements ShardListener {
   private final ControllerComponents components;
 
--- a/src/main/java/gladeknot/app/StateChangeDispatcher.java
+++ b/src/main/java/gladeknot/app/StateChangeDispatcher.java
@@ -8,7 +8,7 @@
 import gladeknot.workers.WorkerRecordCodec;
 import java.util.List;
 
-/** Hands changes of the watch cache to the parts that own the records, by key. */
+/** Dispatches changes of the watch cache by key to the components that own the records. */
 final class StateChangeDispatcher implements ChangeListener {
   private final ControllerComponents components;
 
@@ -17,8 +17,9 @@
   }
 
   /**
-   * Dispatches changes that arrived together: first where each slice is stored, then jobs, since
-   * slices are decoded by what is known of their jobs, then slices and all else.
+   * Dispatches changes that arrived together, in three passes: first the storage location of each
+   * slice and the storage format, then jobs, then slices and all other records. Slices come after
+   * jobs because decoding a slice requires its job.
    */
   @Override
   public void onChanges(List<Change> changes) {
--- a/src/main/java/gladeknot/app/StatusListener.java
+++ b/src/main/java/gladeknot/app/StatusListener.java
@@ -9,11 +9,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Serves the status for operators, as JSON on an address of its own. */
+/** Serves the status for operators as JSON, on its own address. */
 final class StatusListener {
   private static final Logger LOG = LoggerFactory.getLogger(StatusListener.class);
 
-  /** The one path that is served. */
+  /** The only path served. */
   static final String PATH = "/status";
 
   private static final int MAX_CONNECTIONS = 20;
@@ -29,7 +29,7 @@
     this.server = new HttpServer(this::onRequest, MAX_CONNECTIONS);
   }
 
-  /** Listens on host:port, on the same event loop as everything else. */
+  /** Listens on host:port, on the controller's event loop. */
   void listen(EventLoopGroup group, String address) {
     ListenAddress parsed = ListenAddress.parse(address);
     server.listen(group, parsed.host(), parsed.port());
