--- a/src/test/java/gladeknot/standin/FirstVersionRecords.java
+++ b/src/test/java/gladeknot/standin/FirstVersionRecords.java
@@ -5,8 +5,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The record formats that the first released version, without pipelines, can read: the fields that
- * it requires in each stored record. It ignores unknown keys and fields.
+ * Record formats that the first released version, which has no job dependencies, can read: the
+ * fields that it requires in each stored record. That version ignores unknown keys and fields.
  */
 final class FirstVersionRecords {
   private static final Pattern SEGMENT_KEY = Pattern.compile("g/sl/[0-9]+/(a[0-3]|w[01])");
