--- a/src/main/java/gladeknot/fleet/CloudCodec.java
+++ b/src/main/java/gladeknot/fleet/CloudCodec.java
@@ -127,14 +127,14 @@
   private static MachineType machineType(Map<String, Object> type) {
     return new MachineType(
         Json.text(type, "label"),
-        Math.round(Json.real(type, "cores", 0) * THOUSANDTHS),
-        Math.round(Json.real(type, "accelerators", 0) * THOUSANDTHS),
-        Math.round(Json.real(type, "memoryGb", 0) * THOUSANDTHS),
-        Json.real(type, "cacheGb", 0),
-        Json.real(type, "fetchGbPerS", DEFAULT_FETCH_GB_PER_SECOND),
-        Json.real(type, "rate", 0),
-        Json.real(type, "marketPrice", 0),
-        (long) (Json.real(type, "readyS", DEFAULT_BOOT_SECONDS) * MICROS_PER_SECOND),
+        Math.round(Json.doubleValue(type, "cores", 0) * THOUSANDTHS),
+        Math.round(Json.doubleValue(type, "accelerators", 0) * THOUSANDTHS),
+        Math.round(Json.doubleValue(type, "memoryGb", 0) * THOUSANDTHS),
+        Json.doubleValue(type, "cacheGb", 0),
+        Json.doubleValue(type, "fetchGbPerS", DEFAULT_FETCH_GB_PER_SECOND),
+        Json.doubleValue(type, "rate", 0),
+        Json.doubleValue(type, "marketPrice", 0),
+        (long) (Json.doubleValue(type, "readyS", DEFAULT_BOOT_SECONDS) * MICROS_PER_SECOND),
         Json.texts(type, "glades"));
   }
 }
--- a/src/main/java/gladeknot/jobs/JobRecordCodec.java
+++ b/src/main/java/gladeknot/jobs/JobRecordCodec.java
@@ -51,8 +51,8 @@
   private static Job decodeFinal(String id, String phaseWord, Entry entry) {
     Map<String, Object> data = entry.data();
     Job.Phase phase = phaseWord.equals(PHASE_DONE) ? Job.Phase.DONE : Job.Phase.CANCELLED;
-    int tasks = (int) Json.num(data, TASKS, 0);
-    long endMicros = Json.num(data, END_MICROS, 0);
+    int tasks = (int) Json.longValue(data, TASKS, 0);
+    long endMicros = Json.longValue(data, END_MICROS, 0);
     return new Job(id, phase, null, 0, tasks, 0, 0, endMicros, entry.modRevision());
   }
 
@@ -64,8 +64,8 @@
     } catch (MalformedJobException e) {
       throw new IllegalStateException("job " + id + " is stored malformed: " + e.getMessage(), e);
     }
-    int home = (int) Json.num(data, HOME, 0);
-    long submittedMicros = Json.num(data, SUBMITTED_MICROS, 0);
+    int home = (int) Json.longValue(data, HOME, 0);
+    long submittedMicros = Json.longValue(data, SUBMITTED_MICROS, 0);
     return new Job(
         id,
         Job.Phase.ACTIVE,
--- a/src/main/java/gladeknot/jobs/JobSpecCodec.java
+++ b/src/main/java/gladeknot/jobs/JobSpecCodec.java
@@ -235,7 +235,7 @@
   }
 
   private double amount(String name, boolean aboveZero) throws MalformedJobException {
-    double value = Json.real(fields, name, Double.NaN);
+    double value = Json.doubleValue(fields, name, Double.NaN);
     if (!(value >= 0) || value > MAX_AMOUNT || (aboveZero && value <= 0)) {
       throw malformed(name, "must be a number " + (aboveZero ? "above 0" : "of 0 or more"));
     }
--- a/src/main/java/gladeknot/json/Json.java
+++ b/src/main/java/gladeknot/json/Json.java
@@ -63,12 +63,12 @@
    * Returns the number under a name, truncated to an integer, or {@code defaultValue} if there is
    * no number.
    */
-  public static long num(Map<String, Object> map, String name, long defaultValue) {
+  public static long longValue(Map<String, Object> map, String name, long defaultValue) {
     return map.get(name) instanceof Number number ? number.longValue() : defaultValue;
   }
 
   /** Returns the number under a name, or {@code defaultValue} if there is no number. */
-  public static double real(Map<String, Object> map, String name, double defaultValue) {
+  public static double doubleValue(Map<String, Object> map, String name, double defaultValue) {
     return map.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
   }
 
--- a/src/main/java/gladeknot/membership/MembershipCodec.java
+++ b/src/main/java/gladeknot/membership/MembershipCodec.java
@@ -26,7 +26,9 @@
   static ShardRecord shard(Entry entry) {
     Map<String, Object> data = entry.data();
     return new ShardRecord(
-        Json.text(data, OWNER), Json.num(data, INCARNATION, 0), Json.num(data, TERM, 0));
+        Json.text(data, OWNER),
+        Json.longValue(data, INCARNATION, 0),
+        Json.longValue(data, TERM, 0));
   }
 
   static Map<String, Object> encode(LivenessRecord liveness) {
@@ -36,7 +38,7 @@
   static LivenessRecord liveness(Entry entry) {
     Map<String, Object> data = entry.data();
     return new LivenessRecord(
-        Json.num(data, INCARNATION, 0), (int) Json.num(data, FORMAT, FIRST_FORMAT));
+        Json.longValue(data, INCARNATION, 0), (int) Json.longValue(data, FORMAT, FIRST_FORMAT));
   }
 
   static Map<String, Object> encode(DelegationRecord delegation) {
@@ -45,7 +47,7 @@
 
   static DelegationRecord delegation(Entry entry) {
     Map<String, Object> data = entry.data();
-    return new DelegationRecord(Json.text(data, DELEGATE), Json.num(data, TERM, 0));
+    return new DelegationRecord(Json.text(data, DELEGATE), Json.longValue(data, TERM, 0));
   }
 
   static Map<String, Object> encode(FormatRecord format) {
@@ -54,8 +56,8 @@
 
   static FormatRecord format(Entry entry) {
     Map<String, Object> data = entry.data();
-    int split = (int) Math.max(1, Json.num(data, SPLIT, 1));
-    return new FormatRecord((int) Json.num(data, FORMAT, FIRST_FORMAT), split);
+    int split = (int) Math.max(1, Json.longValue(data, SPLIT, 1));
+    return new FormatRecord((int) Json.longValue(data, FORMAT, FIRST_FORMAT), split);
   }
 
   /** Returns the stored form of the counter from which terms are drawn. */
@@ -65,6 +67,6 @@
 
   /** Returns the highest term drawn so far; 0 if the entry is null (no counter exists). */
   static long termCounter(Entry entry) {
-    return entry == null ? 0 : Json.num(entry.data(), COUNTER, 0);
+    return entry == null ? 0 : Json.longValue(entry.data(), COUNTER, 0);
   }
 }
--- a/src/main/java/gladeknot/settings/SettingsTable.java
+++ b/src/main/java/gladeknot/settings/SettingsTable.java
@@ -115,7 +115,7 @@
 
   /** Returns an optional number; the default value if the field is absent. */
   double optionalNumber(String name, double defaultValue) {
-    return Json.real(fields, name, defaultValue);
+    return Json.doubleValue(fields, name, defaultValue);
   }
 
   /**
@@ -123,7 +123,7 @@
    * absent.
    */
   int optionalInt(String name, int defaultValue) {
-    return (int) Json.num(fields, name, defaultValue);
+    return (int) Json.longValue(fields, name, defaultValue);
   }
 
   /** Returns a required duration above 0, given in seconds, as microseconds. */
--- a/src/main/java/gladeknot/state/StateServiceCodec.java
+++ b/src/main/java/gladeknot/state/StateServiceCodec.java
@@ -73,7 +73,7 @@
 
   /** Returns the identifier of the granted lease, or 0 if the reply contains none. */
   static long grantedLease(Outbox.Reply reply) {
-    return Json.num(reply.object(), LEASE_ID, 0);
+    return Json.longValue(reply.object(), LEASE_ID, 0);
   }
 
   /** Decodes a page of a list from a reply with status 200. */
@@ -81,10 +81,10 @@
     Map<String, Object> body = reply.object();
     List<ListedKey> keys = new ArrayList<>();
     for (Map<String, Object> item : Json.objects(body, "items")) {
-      Entry entry = new Entry(Json.map(item.get(DATA)), Json.num(item, MOD_REVISION, 0));
+      Entry entry = new Entry(Json.map(item.get(DATA)), Json.longValue(item, MOD_REVISION, 0));
       keys.add(new ListedKey(Json.text(item, "path"), entry));
     }
-    return new ListPage(Json.num(body, REVISION, 0), keys, Json.flag(body, "more"));
+    return new ListPage(Json.longValue(body, REVISION, 0), keys, Json.flag(body, "more"));
   }
 
   /** Decodes the events of a watch from a reply with status 200. */
@@ -96,11 +96,12 @@
     }
     boolean hasRevision = body.get(REVISION) instanceof Number;
     return new WatchReply(
-        events, hasRevision ? OptionalLong.of(Json.num(body, REVISION, 0)) : OptionalLong.empty());
+        events,
+        hasRevision ? OptionalLong.of(Json.longValue(body, REVISION, 0)) : OptionalLong.empty());
   }
 
   private static WatchEvent watchEvent(Map<String, Object> event) {
-    long modRevision = Json.num(event, MOD_REVISION, 0);
+    long modRevision = Json.longValue(event, MOD_REVISION, 0);
     String writtenKey = Json.text(event, "write");
     if (writtenKey == null) {
       return new WatchEvent(Json.text(event, "delete"), null, modRevision);
@@ -113,7 +114,7 @@
    * if the reply does not contain it.
    */
   static OptionalLong revisionOfAbsentKey(Outbox.Reply reply) {
-    long revision = reply.status() == NOT_FOUND ? Json.num(reply.object(), REVISION, -1) : -1;
+    long revision = reply.status() == NOT_FOUND ? Json.longValue(reply.object(), REVISION, -1) : -1;
     return revision < 0 ? OptionalLong.empty() : OptionalLong.of(revision);
   }
 }
--- a/src/main/java/gladeknot/state/TransactionCodec.java
+++ b/src/main/java/gladeknot/state/TransactionCodec.java
@@ -49,7 +49,7 @@
   /** Decodes the outcome of a transaction from the reply. */
   static CommitOutcome outcome(Outbox.Reply reply) {
     Map<String, Object> body = reply.object();
-    long revision = Json.num(body, "epoch", NO_REVISION);
+    long revision = Json.longValue(body, "epoch", NO_REVISION);
     return switch (reply.status()) {
       case OK -> new CommitOutcome(CommitStatus.COMMITTED, revision, List.of());
       case FAILED_PRECONDITION ->
--- a/src/main/java/gladeknot/workers/HeartbeatCodec.java
+++ b/src/main/java/gladeknot/workers/HeartbeatCodec.java
@@ -38,11 +38,11 @@
 
   /** Returns the incarnation in a worker's reply; 0 if the reply contains none. */
   public static long incarnation(Map<String, Object> reply) {
-    return Json.num(reply, INCARNATION, 0);
+    return Json.longValue(reply, INCARNATION, 0);
   }
 
   private static OptionalDouble reclaimInSeconds(Map<String, Object> message) {
-    double seconds = Json.real(message, "recallS", NO_RECLAIM_NOTICE);
+    double seconds = Json.doubleValue(message, "recallS", NO_RECLAIM_NOTICE);
     return seconds < 0 ? OptionalDouble.empty() : OptionalDouble.of(seconds);
   }
 
