--- a/src/main/java/gladeknot/fleet/Forecast.java
+++ b/src/main/java/gladeknot/fleet/Forecast.java
@@ -13,8 +13,8 @@
  * are placed one after the other, in the order in which they would be scheduled.
  */
 final class Forecast {
-  /** A time that never comes. It is small enough for durations to be added without overflow. */
-  static final long NEVER = Long.MAX_VALUE / 4;
+  /** Time that is never reached. It is small enough for durations to be added without overflow. */
+  static final long NEVER_MICROS = Long.MAX_VALUE / 4;
 
   /** Stands for the machines of all shards in place of a shard's number. */
   static final int ANY_SHARD = -1;
@@ -149,7 +149,7 @@
    */
   long place(MachineTimeline machine, JobSpec spec, long startMicros, long runMicros, int count) {
     long runningMicros = startMicros + machine.fetchMicros(spec);
-    long endMicros = runMicros >= NEVER ? NEVER : runningMicros + runMicros;
+    long endMicros = runMicros >= NEVER_MICROS ? NEVER_MICROS : runningMicros + runMicros;
     machine.reserve(
         startMicros, endMicros, spec.cpus() * count, spec.gpus() * count, spec.memory() * count);
     return runningMicros;
--- a/src/main/java/gladeknot/lifecycle/AttemptTracker.java
+++ b/src/main/java/gladeknot/lifecycle/AttemptTracker.java
@@ -77,8 +77,8 @@
     this.scheduling = scheduling;
   }
 
-  void setTime(long now) {
-    nowMicros = now;
+  void setTime(long currentMicros) {
+    nowMicros = currentMicros;
   }
 
   long nowMicros() {
@@ -100,7 +100,7 @@
     killDispatcher.add(attempt);
   }
 
-  /** Kills an attempt at once because its job is done or cancelled. */
+  /** Kills an attempt at once because its job is completed or cancelled. */
   void killForFinishedJob(Attempt attempt) {
     attempt.markJobFinished();
     kill(attempt, 0);
@@ -206,7 +206,10 @@
     scheduling.request();
   }
 
-  /** Kills the rest of a gang that has lost a task: it makes no progress and must start again. */
+  /**
+   * Kills the remaining tasks of a gang that has lost a task: the gang makes no progress and must
+   * start again.
+   */
   private void killGang(Slice slice) {
     for (Attempt member : slice.attemptsByTask().values()) {
       if (!member.closed() && !member.killRequested()) {
--- a/src/main/java/gladeknot/membership/StorageFormat.java
+++ b/src/main/java/gladeknot/membership/StorageFormat.java
@@ -16,11 +16,12 @@
  * The format in which records are stored, agreed on by all controllers.
  *
  * <p>The first version of this program writes no storage format. Later versions announce their
- * format with their liveness key. Once all members do, and each shard is owned by a live
- * incarnation of a member, one member commits the storage format, conditional on all their liveness
- * and shard keys. From then on, no process of the first version runs. No transaction that such a
- * process may have sent can still be executed, because each is conditional on a shard's key that
- * has changed since. Every write of slices is conditional on the revision of the storage format.
+ * format with their liveness key. Once all members have announced it, and each shard is owned by a
+ * live incarnation of a member, one member commits the storage format, conditional on all their
+ * liveness and shard keys. From then on, no process of the first version runs. No transaction that
+ * such a process may have sent can still be executed, because each is conditional on a shard's key
+ * that has changed since. Every write of slices is conditional on the revision of the storage
+ * format.
  *
  * <p>A storage format comes into force in this controller once the watch has reached its revision.
  * The watch cache shows this controller's own commit earlier, ahead of records that other
@@ -106,8 +107,8 @@
   }
 
   /**
-   * Returns whether the watch cache shows a newer storage format than the one in force. A
-   * transaction that is conditional on the one in force would then fail.
+   * Returns whether the watch cache shows a newer storage format than the format in force. A
+   * transaction that is conditional on the format in force would then fail.
    */
   public boolean isSuperseded() {
     return newestEntry != entryInForce;
@@ -129,8 +130,9 @@
   }
 
   /**
-   * Records that a segment is too full to hold tasks that there are machines for. Segments are then
-   * split, so that the size limit of a stored value does not bound the number of running tasks.
+   * Records that a segment is too full to hold further tasks although machines for them exist.
+   * Segments are then split, so that the size limit of a stored value does not bound the number of
+   * running tasks.
    */
   public void reportSegmentFull() {
     segmentFull = true;
@@ -155,9 +157,9 @@
     nextAttemptMicros = nowMicros + COMMIT_INTERVAL_MICROS;
     Optional<Map<String, Long>> upgradedRevisions = revisionsIfAllUpgraded();
     if (upgradedRevisions.isPresent() && stateStore.tryAcquireWrites(1, 0)) {
-      Map<String, Long> conditions = upgradedRevisions.get();
-      conditions.put(MembershipKeys.FORMAT, revision());
-      commit(limits.targetSegmentSplit(), conditions);
+      Map<String, Long> preconditions = upgradedRevisions.get();
+      preconditions.put(MembershipKeys.FORMAT, revision());
+      commit(limits.targetSegmentSplit(), preconditions);
     }
   }
 
@@ -173,11 +175,11 @@
     }
   }
 
-  private void commit(int split, Map<String, Long> conditions) {
+  private void commit(int split, Map<String, Long> preconditions) {
     commitInFlight = true;
     FormatRecord record = new FormatRecord(ANNOUNCED, split);
     stateStore.commit(
-        conditions,
+        preconditions,
         List.of(Mutation.put(MembershipKeys.FORMAT, MembershipCodec.encode(record))),
         outcome -> {
           commitInFlight = false;
--- a/src/main/java/gladeknot/state/RequestLimits.java
+++ b/src/main/java/gladeknot/state/RequestLimits.java
@@ -36,7 +36,7 @@
   RequestLimits(Settings settings, TransactionLimits limits) {
     this.limits = limits;
     double evenShare = TOTAL_SHARE / settings.nodes().size();
-    double requestsPerSecond = settings.stateLimits().rps() * evenShare;
+    double requestsPerSecond = settings.stateLimits().requestsPerSecond() * evenShare;
     // Writes come in bursts, at one controller at a time. Therefore each controller may exceed an
     // even share. It backs off when the service reports that all controllers together are over the
     // limit.
@@ -48,11 +48,11 @@
   }
 
   /** Advances the time and applies changes of the limits in force. */
-  void tick(long now) {
-    nowMicros = now;
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
     if (writesPerSecond != limits.writesPerSecond()) {
       writesPerSecond = limits.writesPerSecond();
-      writes.setRate(writesPerSecond * writeShare, now);
+      writes.setRate(writesPerSecond * writeShare, currentMicros);
     }
   }
 
--- a/src/main/java/gladeknot/workers/RemoteHeartbeats.java
+++ b/src/main/java/gladeknot/workers/RemoteHeartbeats.java
@@ -48,11 +48,13 @@
   }
 
   /** Sets the current time and forgets redirects that are older than the return window. */
-  void tick(long now) {
-    nowMicros = now;
-    if (now >= nextSweepMicros) {
-      nextSweepMicros = now + RETURN_WINDOW_MICROS;
-      redirectedMicros.values().removeIf(redirected -> now - redirected > RETURN_WINDOW_MICROS);
+  void tick(long currentMicros) {
+    nowMicros = currentMicros;
+    if (currentMicros >= nextSweepMicros) {
+      nextSweepMicros = currentMicros + RETURN_WINDOW_MICROS;
+      redirectedMicros
+          .values()
+          .removeIf(redirected -> currentMicros - redirected > RETURN_WINDOW_MICROS);
     }
   }
 
@@ -96,9 +98,9 @@
   /**
    * Renews a worker's lease on behalf of the owner. The read barrier comes after the heartbeat. The
    * cache then shows any ownership transfer since the heartbeat was sent, and every cancellation
-   * committed by then. Tasks of finished jobs are killed. Otherwise a series of delegations could
-   * keep a cancelled task running beyond its allowed time. All other commands are left to the
-   * owner.
+   * committed before the barrier. Tasks of finished jobs are killed. Otherwise a series of
+   * delegations could keep a cancelled task running beyond its allowed time. All other commands are
+   * left to the owner.
    */
   private void answerAsDelegate(long request, Heartbeat heartbeat, int shard, long term) {
     stateStore.readBarrier(
@@ -111,6 +113,6 @@
             answers.refuse(request, HeartbeatAnswers.Refusal.OWNER_CHANGING);
           }
         },
-        () -> answers.refuse(request, HeartbeatAnswers.Refusal.STATE_STORE_UNREACHABLE));
+        () -> answers.refuse(request, HeartbeatAnswers.Refusal.STATE_SERVICE_UNREACHABLE));
   }
 }
--- a/src/main/java/gladeknot/workers/Worker.java
+++ b/src/main/java/gladeknot/workers/Worker.java
@@ -28,7 +28,7 @@
   /** Attempts of all shards by task name, according to the cache. */
   private final Map<String, Attempt> attempts = new LinkedHashMap<>();
 
-  private long probedMicros = WorkerSession.NEVER;
+  private long probedMicros = WorkerSession.NEVER_MICROS;
   private long idleSinceMicros;
   private boolean surplus;
   private boolean releasing;
@@ -44,7 +44,7 @@
 
   // The stored record.
 
-  /** Applies the machine's record in the state store. */
+  /** Applies the machine's record in the state service. */
   void onRegistered(WorkerRecord stored) {
     record = stored;
     registered = true;
@@ -88,7 +88,7 @@
     return registered() && !terminating() && reclaimAtMicros() == 0;
   }
 
-  /** Returns whether the state store has a record of the machine. */
+  /** Returns whether the state service has a record of the machine. */
   public boolean registered() {
     return registered;
   }
@@ -240,7 +240,8 @@
   // Images.
 
   /**
-   * Records the use of an image, and evicts the least recently used images until the others fit.
+   * Records the use of an image, and evicts the least recently used images until the remaining
+   * images fit.
    */
   public void cacheImage(String image, double imageGb, double cacheGb) {
     imageCache.use(image, imageGb, cacheGb);
